--- a/spanwing/choice.py
+++ b/spanwing/choice.py
@@ -38,7 +38,8 @@
         self.index = {each.name: i for i, each in enumerate(settings.classes)}
         tenants = settings.tenants or (api.Tenant("", 1.0),)
         self.ledgers: dict[str | None, Ledger] = {
-            each.name: Ledger(each.rate / settings.nodes, now, len(self.index)) for each in tenants}
+            each.name: Ledger(each.rate / settings.nodes, now, len(self.index)) for each in tenants
+        }
         self.ledgers[None] = Ledger(0.0, now, len(self.index))  # whoever is on no list
         self.home: list[View] = []  # own part of the fleet
         self.near: list[View] = []  # others' in this zone
@@ -47,8 +48,14 @@
         self.fed: list[View] = []  # those of them that this node feeds while they are cold
         # A cold worker is fed by as many nodes as it may have slots, whoever is down, each with a part of the
         # budget that holds a job. They are found by the worker's id alone, so that late lists cannot add any.
-        jobs = COLD_PART * settings.fall_multiple * settings.cold_from * GUESS * settings.fall_ms / (
-            2.0 * sum(each.aim for each in settings.classes) / len(settings.classes))
+        jobs = (
+            COLD_PART
+            * settings.fall_multiple
+            * settings.cold_from
+            * GUESS
+            * settings.fall_ms
+            / (2.0 * sum(each.aim for each in settings.classes) / len(settings.classes))
+        )
         self.feeders = max(1, min(settings.nodes, int(GUESS), int(jobs)))
         self.views: dict[int, View] = {}  # workers
         self.members: dict[View, str] = {}  # workers with their kinds, as dealt out last
@@ -261,8 +268,9 @@
                 queue.popleft()
             # Where one found no room, none as large does: a full fleet is not searched for each.
             job = queue[0] if queue else None
-            if job and not any(job.req.slots >= s and job.req.memory >= m and job.cls.kind == k
-                               for s, m, k in failed):
+            if job and not any(
+                job.req.slots >= s and job.req.memory >= m and job.cls.kind == k for s, m, k in failed
+            ):
                 view = self._place(job)
                 if view is not None:
                     return job, view
@@ -294,8 +302,11 @@
         if entry.state != "healthy" or now < view.rest_until or cls.kind not in (None, entry.kind):
             return False
         for each in job.attempts:
-            if not each.proof and (cls.effect == "unsafe" or each.view is view or (
-                    cls.effect == "keyed" and not self._remembers(each, cls, entry))):
+            if not each.proof and (
+                cls.effect == "unsafe"
+                or each.view is view
+                or (cls.effect == "keyed" and not self._remembers(each, cls, entry))
+            ):
                 return False
         return self._cold_allows(view, job)
 
@@ -303,8 +314,10 @@
         """Whether a worker still drops this keyed job as a repeat of an attempt that may have run."""
         first = ran.view.entry
         return self.now < ran.at + cls.window - self.set.tick and (
-            cls.group == "all" or first.zone == entry.zone and (
-                cls.group == "zone" or first.cell == entry.cell))
+            cls.group == "all"
+            or first.zone == entry.zone
+            and (cls.group == "zone" or first.cell == entry.cell)
+        )
 
     def _cold_allows(self, view: View, job: Job) -> bool:
         """Keep a cold worker under its budget: its feeders alone, each with its part, send to it."""
@@ -324,7 +337,8 @@
 
     def _fits(self, view: View, job: Job, slack: float = 0.0) -> bool:
         if view.held + job.req.slots > min(view.total, view.limit) or (
-                self.set.counts_memory and view.held and view.memory + job.req.memory > view.total):
+            self.set.counts_memory and view.held and view.memory + job.req.memory > view.total
+        ):
             return False
         if view.limit <= 1.0 and self.proves and job.cls.effect != "safe":
             return False  # back from a rest, a worker proves itself on a job that may be repeated
@@ -358,8 +372,12 @@
 
     def _place_key(self, job: Job) -> View | None:
         if not self.ring:
-            self.ring = sorted((mix(v.entry.id, 7919, i), v.entry.id) for v in self.views.values()
-                               if v.entry.state == "healthy" for i in range(math.ceil(16 * min(v.size, 8.0))))
+            self.ring = sorted(
+                (mix(v.entry.id, 7919, i), v.entry.id)
+                for v in self.views.values()
+                if v.entry.state == "healthy"
+                for i in range(math.ceil(16 * min(v.size, 8.0)))
+            )
         # All nodes send a key to the same workers: each may have its part of the slots there, one at least.
         most = max(1.0, 1.25 * GUESS / self.set.nodes)
         at, seen = bisect(self.ring, (mix(*job.req.key.encode()), 0)), set()
@@ -453,8 +471,12 @@
 
     def _may_move(self, job: Job) -> bool:
         """Whether a job may be called back, to be sent elsewhere once that attempt has ended."""
-        return (self.set.cancel and job.cls.effect != "unsafe" and job.req.id in self.jobs
-                and len(job.attempts) < self.set.max_attempts - 1)
+        return (
+            self.set.cancel
+            and job.cls.effect != "unsafe"
+            and job.req.id in self.jobs
+            and len(job.attempts) < self.set.max_attempts - 1
+        )
 
     def _strike(self, view: View, why: str) -> None:
         """Set a failing worker aside, longer each time; a worker that fails fast only looks free."""
@@ -488,7 +510,8 @@
             if view.home and full and not view.learned:
                 view.lower(self.now + MOST_ASIDE_MS)
         elif result in ("error", "unreachable", "timeout") or (  # a reset may be a push-out by priority
-                result == "reset" and not (self.set.preempts and job.cls.effect == "safe")):
+            result == "reset" and not (self.set.preempts and job.cls.effect == "safe")
+        ):
             self._strike(view, result)
         live = job if self.jobs.get(event.request) is job else None
         if live is not None and event.complete:
@@ -516,8 +539,11 @@
     def _again(self, job: Job) -> None:
         """No attempt is out and the client has no answer: try again where that is allowed, or end it."""
         ran = [each for each in job.attempts if not each.proof]
-        if self.now >= job.req.deadline or len(job.attempts) >= self.set.max_attempts or (
-                ran and job.cls.effect == "unsafe"):
+        if (
+            self.now >= job.req.deadline
+            or len(job.attempts) >= self.set.max_attempts
+            or (ran and job.cls.effect == "unsafe")
+        ):
             self._end(job)
         else:
             self._hold(job)
@@ -536,15 +562,24 @@
         self._unhold(job)
         self.jobs.pop(job.req.id, None)
         self.out += [answer] if answer is not None else []
-        self.out += [api.Cancel(job.req.id, number) for number, each in enumerate(job.attempts)
-                     if each.open and self.set.cancel]
+        self.out += [
+            api.Cancel(job.req.id, number)
+            for number, each in enumerate(job.attempts)
+            if each.open and self.set.cancel
+        ]
 
     def _left(self, event: api.ClientGone | api.StreamStarted) -> None:
         if event.request in self.jobs:
             self._finish(self.jobs[event.request], None)
 
+
 HANDLERS = {
-    api.WorkerList: Dispatcher._listed, api.Request: Dispatcher._arrive, api.Outcome: Dispatcher._ended,
-    api.Note: Dispatcher._note, api.Accepted: Dispatcher._accepted, api.ProbeResult: Dispatcher._probed,
-    api.ClientGone: Dispatcher._left, api.StreamStarted: Dispatcher._left,
+    api.WorkerList: Dispatcher._listed,
+    api.Request: Dispatcher._arrive,
+    api.Outcome: Dispatcher._ended,
+    api.Note: Dispatcher._note,
+    api.Accepted: Dispatcher._accepted,
+    api.ProbeResult: Dispatcher._probed,
+    api.ClientGone: Dispatcher._left,
+    api.StreamStarted: Dispatcher._left,
 }
