--- a/spanwing/adapter.py
+++ b/spanwing/adapter.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from spanwing import interface as api
-from spanwing.choice import Dispatcher
+from spanwing.scheduler import Dispatcher
 from spanwing.settings import PlatformSettings, scheduler_settings
 
 RESULTS_BY_WIRE_NAME: dict[str, api.Result] = {
--- a/spanwing/core/request_manager.py
+++ b/spanwing/core/request_manager.py
@@ -14,7 +14,6 @@
 
 from spanwing import interface as api
 from spanwing.actor import Actor
-from spanwing.choice import Dispatcher
 from spanwing.core.clock import Clock
 from spanwing.core.messages import (
     AttemptAccepted,
@@ -40,6 +39,7 @@
     ZoneRouting,
 )
 from spanwing.core.send_guard import SendGuard, SendRefusal
+from spanwing.scheduler import Dispatcher
 
 DISCOVERY_SOURCE = "map"  # the directory of the workers that discovery names
 JOURNAL_RETRY_AFTER_MS = 1000.0  # Retry-After for work that the journal cannot record
--- a/spanwing/hot_restart/state_transfer.py
+++ b/spanwing/hot_restart/state_transfer.py
@@ -12,8 +12,8 @@
 from typing import NamedTuple
 
 from spanwing import interface as api
-from spanwing.choice import GUESS, HANDLERS, MISSED, Dispatcher
 from spanwing.hot_restart.messages import SchedulerEstimates, TransferredAttempt, WorkerEstimates
+from spanwing.scheduler import GUESS, HANDLERS, MISSED, Dispatcher
 from spanwing.state import Attempt, Job, Ledger, View
 
 
--- a/spanwing/policy/state_transfer.py
+++ b/spanwing/policy/state_transfer.py
@@ -8,7 +8,6 @@
 from __future__ import annotations
 
 from spanwing import interface as api
-from spanwing.choice import Dispatcher
 from spanwing.hot_restart.state_transfer import (
     export_scheduler,
     export_worker,
@@ -16,6 +15,7 @@
     import_worker,
     stop_feeding,
 )
+from spanwing.scheduler import Dispatcher
 
 
 def create_scheduler(settings: api.Settings, seed: int, now: float, previous: Dispatcher) -> Dispatcher:
--- a/spanwing/simulation/scheduler.py
+++ b/spanwing/simulation/scheduler.py
@@ -13,7 +13,7 @@
 from typing import Any, Protocol
 
 from spanwing import interface as api
-from spanwing.choice import Dispatcher
+from spanwing.scheduler import Dispatcher
 from spanwing.simulation.event_queue import EventQueue, ScheduledCall
 
 TIMEOUT_MARGIN_MS = 1.0  # as in the core: an attempt times out this long before the client's deadline
--- a/spanwing/zones/agent.py
+++ b/spanwing/zones/agent.py
@@ -14,7 +14,7 @@
 from heapq import nlargest
 
 from spanwing import interface as api
-from spanwing.choice import Dispatcher
+from spanwing.scheduler import Dispatcher
 from spanwing.state import View, mix
 from spanwing.zones.evidence import (
     FAULT_PROBE_INTERVAL_MS,
--- a/spanwing/zones/unreachable_work.py
+++ b/spanwing/zones/unreachable_work.py
@@ -8,7 +8,7 @@
 
 from typing import NamedTuple
 
-from spanwing.choice import HANDLERS, Dispatcher
+from spanwing.scheduler import HANDLERS, Dispatcher
 
 
 class ZoneUnreachable(NamedTuple):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,7 +4,6 @@
 
 from hypothesis import settings as hypothesis_settings
 
-from spanwing.choice import Dispatcher
 from spanwing.interface import (
     Action,
     Event,
@@ -19,6 +18,7 @@
     Worker,
     WorkerList,
 )
+from spanwing.scheduler import Dispatcher
 
 # The same verdict every time: the examples are those of a fixed seed, and none is kept between runs.
 hypothesis_settings.register_profile("same", derandomize=True, database=None, deadline=None)
--- a/tests/golden_messages.py
+++ b/tests/golden_messages.py
@@ -19,7 +19,6 @@
 
 from spanwing import interface as api
 from spanwing import settings
-from spanwing.choice import Dispatcher
 from spanwing.core.messages import JobRequest
 from spanwing.discovery.client import DiscoveredEndpoints, DiscoveredWorker
 from spanwing.hot_restart import messages
@@ -29,6 +28,7 @@
 from spanwing.policy import coordinator as chair
 from spanwing.policy import policy_cache as kept
 from spanwing.policy import records as record
+from spanwing.scheduler import Dispatcher
 from spanwing.state import Attempt, Job, View
 from spanwing.store import claims, document, peer
 from spanwing.store import leader as keeper
--- a/tests/test_decision_digests.py
+++ b/tests/test_decision_digests.py
@@ -24,7 +24,7 @@
 import msgspec
 
 from spanwing import interface as api
-from spanwing.choice import Dispatcher
+from spanwing.scheduler import Dispatcher
 from spanwing.settings import PlatformSettings, scheduler_settings
 from spanwing.zones.unreachable_work import ZoneUnreachable
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -370,7 +370,7 @@
 
 
 def test_module_keeps_its_limits():
-    lines = (ROOT / "spanwing" / "choice.py").read_text().splitlines()
+    lines = (ROOT / "spanwing" / "scheduler.py").read_text().splitlines()
     assert max(map(len, lines)) <= 110
     assert "spanwing/interface.py" in lines[0]
     ruff = tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]["ruff"]
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -103,7 +103,7 @@
             for each in (ROOT / name).glob("*.py"):
                 (copy / name / each.name).write_bytes(each.read_bytes())
         self.assertEqual(source_digest(copy), here.digest)
-        with open(copy / "spanwing" / "choice.py", "a") as file:
+        with open(copy / "spanwing" / "scheduler.py", "a") as file:
             file.write("\n# another build\n")
         self.assertNotEqual(source_digest(copy), here.digest)
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -14,7 +14,7 @@
 from measure.fleet import simulated
 from measure.zoneday import play
 from spanwing import interface as api
-from spanwing.choice import Dispatcher
+from spanwing.scheduler import Dispatcher
 from spanwing.store.document import Document, Transaction
 from spanwing.store.leader import Leader
 from spanwing.store.messages import Renew, RenewalGranted
