--- a/measure/fleet/simulated.py
+++ b/measure/fleet/simulated.py
@@ -27,8 +27,8 @@
 import msgspec
 
 from spanwing import interface as api
+from spanwing.scheduler_state import mix
 from spanwing.simulation.event_queue import EventQueue
-from spanwing.state import mix
 from spanwing.store.document import Document, Transaction, catch_up
 from spanwing.store.leader import Leader
 from spanwing.store.lease import Lease
--- a/spanwing/experiment/matrix.py
+++ b/spanwing/experiment/matrix.py
@@ -27,7 +27,7 @@
 from spanwing.simulation.scenario import SCENARIO_LIBRARY, load_scenario
 
 REPOSITORY_ROOT = Path(__file__).parent.parent.parent
-DECISION_FILES = ("scheduler.py", "state.py", "interface.py")
+DECISION_FILES = ("scheduler.py", "scheduler_state.py", "interface.py")
 THIS_SOURCE = "here"
 MAX_CELLS = 100_000
 CELL_TIMEOUT_S = 3600.0
--- a/spanwing/hot_restart/state_transfer.py
+++ b/spanwing/hot_restart/state_transfer.py
@@ -14,7 +14,7 @@
 from spanwing import interface as api
 from spanwing.hot_restart.messages import SchedulerEstimates, TransferredAttempt, WorkerEstimates
 from spanwing.scheduler import GUESS, HANDLERS, MISSED, Dispatcher
-from spanwing.state import Attempt, Job, Ledger, View
+from spanwing.scheduler_state import Attempt, Job, Ledger, View
 
 
 def export_worker(worker: View) -> WorkerEstimates:
--- a/spanwing/scheduler.py
+++ b/spanwing/scheduler.py
@@ -14,7 +14,7 @@
 from itertools import islice
 
 from spanwing import interface as api
-from spanwing.state import FRESH_MS, MEMORY_MS, Alarms, Attempt, Job, Ledger, View, mix
+from spanwing.scheduler_state import FRESH_MS, MEMORY_MS, Alarms, Attempt, Job, Ledger, View, mix
 
 GUESS = 4.0  # slots assumed at a worker before anything is learned
 FADED = 0.4  # of a slot: less than this, held by others as last seen, keeps no worker from its trial
--- a/spanwing/zones/agent.py
+++ b/spanwing/zones/agent.py
@@ -15,7 +15,7 @@
 
 from spanwing import interface as api
 from spanwing.scheduler import Dispatcher
-from spanwing.state import View, mix
+from spanwing.scheduler_state import View, mix
 from spanwing.zones.evidence import (
     FAULT_PROBE_INTERVAL_MS,
     EvidenceCollector,
--- a/spanwing/zones/state.py
+++ b/spanwing/zones/state.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from spanwing.state import mix
+from spanwing.scheduler_state import mix
 from spanwing.store.document import Document
 
 RETURN_STEPS = 4
--- a/spanwing/zones/trial_requests.py
+++ b/spanwing/zones/trial_requests.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 
 from spanwing.scheduler import Dispatcher
-from spanwing.state import Job, View
+from spanwing.scheduler_state import Job, View
 
 TRIAL_WINDOW_MS = 1000.0  # a worker gets its trial within this, or none
 
--- a/tests/golden_messages.py
+++ b/tests/golden_messages.py
@@ -29,7 +29,7 @@
 from spanwing.policy import policy_cache as kept
 from spanwing.policy import records as record
 from spanwing.scheduler import Dispatcher
-from spanwing.state import Attempt, Job, View
+from spanwing.scheduler_state import Attempt, Job, View
 from spanwing.store import claims, document, peer
 from spanwing.store import leader as keeper
 from spanwing.store import messages as store_messages
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent / "spanwing"
-DECISIONS = {"scheduler", "state", "interface", "settings", "adapter"}
+DECISIONS = {"scheduler", "scheduler_state", "interface", "settings", "adapter"}
 #: By package or module, what it may import of the project, itself aside.
 MAY = {
     "__init__": set(),
