--- a/measure/scale.py
+++ b/measure/scale.py
@@ -77,7 +77,7 @@
     profiler.runcall(fleet.run, day)
     found = []
     for (file, _, name), (_, calls, own, _, _) in pstats.Stats(profiler).stats.items():
-        if Path(file).name in ("scheduler.py", "scheduler_state.py"):
+        if any(Path(file).match(f"spanwing/{each}") for each in ("scheduler.py", "scheduler_state.py")):
             made = fleet.accounting.request_count
             found.append(
                 (
