--- a/measure/fleet/simulated.py
+++ b/measure/fleet/simulated.py
@@ -27,7 +27,7 @@
 import msgspec
 
 from spanwing import interface as api
-from spanwing.scheduler_state import mix
+from spanwing.scheduler_state import stable_hash
 from spanwing.simulation.event_queue import EventQueue
 from spanwing.store.document import Document, Transaction, catch_up
 from spanwing.store.leader import Leader
@@ -272,7 +272,7 @@
         self.random, self.agenda, self.bugs = random.Random(seed), EventQueue(), bugs
         self.document, self.regions, self.count = Document(), regions or {}, schedulers
         self.workers = [
-            Worker(mix(number, seed) & 0xFFFFFFFFFFFF, ZONES[number % len(ZONES)])
+            Worker(stable_hash(number, seed) & 0xFFFFFFFFFFFF, ZONES[number % len(ZONES)])
             for number in range(per_zone * len(ZONES))
         ]
         self.hashes: dict[int, list[int]] = {}
@@ -292,7 +292,9 @@
     def hashed(self, worker: int) -> list[int]:
         """The positions that feed a cold worker while nothing is dealt, as in the module."""
         if worker not in self.hashes:
-            self.hashes[worker] = nlargest(FEEDERS, range(self.count), key=lambda node: mix(worker, node))
+            self.hashes[worker] = nlargest(
+                FEEDERS, range(self.count), key=lambda node: stable_hash(worker, node)
+            )
         return self.hashes[worker]
 
     def listing(self) -> dict[str, list[ListedWorker]]:
--- a/spanwing/adapter.py
+++ b/spanwing/adapter.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from spanwing import interface as api
-from spanwing.scheduler import Dispatcher
+from spanwing.scheduler import Scheduler
 from spanwing.settings import PlatformSettings, scheduler_settings
 
 RESULTS_BY_WIRE_NAME: dict[str, api.Result] = {
@@ -150,7 +150,7 @@
     """The nodes hosted by this process, and the batch being read."""
 
     def __init__(self) -> None:
-        self.schedulers: dict[str, Dispatcher] = {}
+        self.schedulers: dict[str, Scheduler] = {}
         self.now_ms: float | None = None
         self.reply_lines: list[bytes] = []
 
@@ -186,7 +186,7 @@
             now_ms = self.now_ms
 
             def create_scheduler() -> None:
-                self.schedulers[node_name] = Dispatcher(
+                self.schedulers[node_name] = Scheduler(
                     scheduler_settings(msgspec.convert(options, PlatformSettings)), seed, now_ms
                 )
 
--- a/spanwing/core/request_manager.py
+++ b/spanwing/core/request_manager.py
@@ -39,7 +39,7 @@
     ZoneRouting,
 )
 from spanwing.core.send_guard import SendGuard, SendRefusal
-from spanwing.scheduler import Dispatcher
+from spanwing.scheduler import Scheduler
 
 DISCOVERY_SOURCE = "map"  # the directory of the workers that discovery names
 JOURNAL_RETRY_AFTER_MS = 1000.0  # Retry-After for work that the journal cannot record
@@ -82,7 +82,7 @@
     def __init__(self, settings: api.Settings, seed: int, clock: Clock) -> None:
         super().__init__()
         self.settings, self.clock = settings, clock
-        self.scheduler = Dispatcher(settings, seed, clock.now_ms())
+        self.scheduler = Scheduler(settings, seed, clock.now_ms())
         self.safe_classes = {each.name for each in settings.classes if each.effect == "safe"}
         self.unsafe_classes = {each.name for each in settings.classes if each.effect == "unsafe"}
         self.recorder: AttemptRecorder | None = None
@@ -91,8 +91,8 @@
         self.zone_routing: ZoneRouting | None = None
         self.policy_admission: PolicyAdmission | None = None
         # Schedulers of earlier policies decide to the end about the requests that they accepted.
-        self.retiring_schedulers: list[Dispatcher] = []
-        self.scheduler_by_request: dict[str, Dispatcher] = {}
+        self.retiring_schedulers: list[Scheduler] = []
+        self.scheduler_by_request: dict[str, Scheduler] = {}
         self.acting_scheduler = self.scheduler
         self.pending_requests: dict[str, PendingRequest] = {}
         self.in_flight: dict[tuple[str, int], InFlightAttempt] = {}
@@ -178,7 +178,7 @@
             self.idle_waiters.append(waiter)
         return waiter
 
-    def _dispatch_event(self, event: api.Event, scheduler: Dispatcher | None = None) -> None:
+    def _dispatch_event(self, event: api.Event, scheduler: Scheduler | None = None) -> None:
         previous, self.acting_scheduler = self.acting_scheduler, scheduler or self.scheduler
         for action in self.acting_scheduler.handle(self.clock.now_ms(), event):
             ACTION_HANDLERS[type(action)](self, action)
@@ -191,7 +191,7 @@
         for scheduler in (*self.retiring_schedulers, self.scheduler):
             self._dispatch_event(event, scheduler)
 
-    def _scheduler_of(self, request: str) -> Dispatcher:
+    def _scheduler_of(self, request: str) -> Scheduler:
         """Returns the scheduler that decides about this request."""
         return (
             self.scheduler_by_request.get(request, self.scheduler)
@@ -199,7 +199,7 @@
             else self.scheduler
         )
 
-    def switch_policy(self, settings: api.Settings, scheduler: Dispatcher) -> None:
+    def switch_policy(self, settings: api.Settings, scheduler: Scheduler) -> None:
         """Puts another policy into force within this turn of the loop: its scheduler decides about new
         requests, the previous one continues with those that it accepted.
         """
--- a/spanwing/hot_restart/state_transfer.py
+++ b/spanwing/hot_restart/state_transfer.py
@@ -13,11 +13,11 @@
 
 from spanwing import interface as api
 from spanwing.hot_restart.messages import SchedulerEstimates, TransferredAttempt, WorkerEstimates
-from spanwing.scheduler import GUESS, HANDLERS, MISSED, Dispatcher
-from spanwing.scheduler_state import Attempt, Job, Ledger, View
+from spanwing.scheduler import GUESS, HANDLERS, MISSED, Scheduler
+from spanwing.scheduler_state import Attempt, Job, TokenAccount, WorkerState
 
 
-def export_worker(worker: View) -> WorkerEstimates:
+def export_worker(worker: WorkerState) -> WorkerEstimates:
     """Returns the estimates of one worker."""
     return WorkerEstimates(
         worker.entry.id,
@@ -38,7 +38,7 @@
     )
 
 
-def import_worker(worker: View, estimates: WorkerEstimates, now: float) -> None:
+def import_worker(worker: WorkerState, estimates: WorkerEstimates, now: float) -> None:
     """Sets a worker's estimates; the predecessor's reserved slots count as load of others, seen now."""
     worker.total, worker.learned = estimates.estimated_slots, estimates.slots_reported
     worker.others = estimates.foreign_slots + estimates.reserved_slots
@@ -66,14 +66,14 @@
     worker.sent.extend(estimates.recent_work)
 
 
-def stop_feeding(scheduler: Dispatcher) -> None:
+def stop_feeding(scheduler: Scheduler) -> None:
     """Stops feeding workers that are warming up; the successor feeds them: one budget, one feeder."""
     scheduler.feeding, scheduler.fed = False, []
     for view in scheduler.views.values():
         view.owner = 0.0
 
 
-def resume_feeding(scheduler: Dispatcher) -> None:
+def resume_feeding(scheduler: Scheduler) -> None:
     """Resumes feeding, as the successor has gone.
 
     What it forwarded is not known, so feeding begins with halved parts, as after a restart.
@@ -84,7 +84,7 @@
     scheduler.divide()
 
 
-def export_scheduler(scheduler: Dispatcher, revision: int | None, discovery: str) -> SchedulerEstimates:
+def export_scheduler(scheduler: Scheduler, revision: int | None, discovery: str) -> SchedulerEstimates:
     """Returns the scheduler's estimates that concern no single worker, and the list's revision."""
     class_names = [each.name for each in scheduler.set.classes]
     return SchedulerEstimates(
@@ -105,7 +105,7 @@
     )
 
 
-def import_scheduler(scheduler: Dispatcher, estimates: SchedulerEstimates, now: float) -> None:
+def import_scheduler(scheduler: Scheduler, estimates: SchedulerEstimates, now: float) -> None:
     """Sets the scheduler's estimates; classes and tenants that are unknown here are left out."""
     scheduler.born, scheduler.busy, scheduler.keys = (
         estimates.started_ms,
@@ -119,7 +119,7 @@
         if name in scheduler.index:
             scheduler.work[scheduler.index[name]] = service_ms
     for name, (earned, spent, credit) in estimates.token_accounts.items():
-        account: Ledger | None = scheduler.ledgers.get(name)
+        account: TokenAccount | None = scheduler.ledgers.get(name)
         if account is not None:
             account.earned, account.spent, account.credit, account.at = (
                 earned,
@@ -154,7 +154,7 @@
     ]
 
 
-def release_request(scheduler: Dispatcher, request_id: str) -> None:
+def release_request(scheduler: Scheduler, request_id: str) -> None:
     """Drops a request that another process now has: it is no longer queued, and its slots are released."""
     job = scheduler.jobs.pop(request_id)
     scheduler._unhold(job)
@@ -167,7 +167,7 @@
             worker.running -= job.req.slots if attempt.started else 0
 
 
-def _resume_request(scheduler: Dispatcher, event: RequestResumed) -> None:
+def _resume_request(scheduler: Scheduler, event: RequestResumed) -> None:
     """Adds a request as if it had begun here: the same counts, the same alarms from the same moments."""
     req = event.request
     index = scheduler.index.get(req.cls, 0)
@@ -184,7 +184,7 @@
     for number, transferred in enumerate(event.attempts):
         worker = scheduler.views.get(transferred.worker_id)
         if worker is None:  # gone from the list; its attempt may still end
-            worker = scheduler.views[transferred.worker_id] = View(
+            worker = scheduler.views[transferred.worker_id] = WorkerState(
                 api.Worker(transferred.worker_id, "gone"), False, GUESS
             )
         attempt = Attempt(
@@ -205,7 +205,7 @@
         scheduler._drain()
 
 
-def _reserve_slots(scheduler: Dispatcher, attempt: Attempt, number: int) -> None:
+def _reserve_slots(scheduler: Scheduler, attempt: Attempt, number: int) -> None:
     job, worker, settings = attempt.job, attempt.view, scheduler.set
     worker.others = max(0.0, worker.others - job.req.slots)  # counted as load of others until now
     worker.held += job.req.slots
--- a/spanwing/policy/state_transfer.py
+++ b/spanwing/policy/state_transfer.py
@@ -15,12 +15,12 @@
     import_worker,
     stop_feeding,
 )
-from spanwing.scheduler import Dispatcher
+from spanwing.scheduler import Scheduler
 
 
-def create_scheduler(settings: api.Settings, seed: int, now: float, previous: Dispatcher) -> Dispatcher:
+def create_scheduler(settings: api.Settings, seed: int, now: float, previous: Scheduler) -> Scheduler:
     """Returns a scheduler for the new settings, which knows no worker list yet (see known_workers)."""
-    scheduler = Dispatcher(settings, seed, now)
+    scheduler = Scheduler(settings, seed, now)
     import_scheduler(scheduler, export_scheduler(previous, None, ""), now)
     for name, account in scheduler.ledgers.items():
         previous_account = previous.ledgers.get(name)
@@ -30,13 +30,13 @@
     return scheduler
 
 
-def known_workers(previous: Dispatcher) -> api.WorkerList:
+def known_workers(previous: Scheduler) -> api.WorkerList:
     """Returns the former scheduler's worker list, without workers that are gone."""
     entries = (view.entry for view in previous.views.values() if view.entry.state != "gone")
     return api.WorkerList("persisted", tuple(entries))
 
 
-def transfer_worker_estimates(scheduler: Dispatcher, previous: Dispatcher, now: float) -> None:
+def transfer_worker_estimates(scheduler: Scheduler, previous: Scheduler, now: float) -> None:
     """Copies each worker's estimates; the former scheduler stops feeding.
 
     Called once the new scheduler has the worker list.
--- a/spanwing/scheduler.py
+++ b/spanwing/scheduler.py
@@ -14,7 +14,16 @@
 from itertools import islice
 
 from spanwing import interface as api
-from spanwing.scheduler_state import FRESH_MS, MEMORY_MS, Alarms, Attempt, Job, Ledger, View, mix
+from spanwing.scheduler_state import (
+    FRESH_MS,
+    MEMORY_MS,
+    Attempt,
+    Job,
+    TimerQueue,
+    TokenAccount,
+    WorkerState,
+    stable_hash,
+)
 
 GUESS = 4.0  # slots assumed at a worker before anything is learned
 FADED = 0.4  # of a slot: less than this, held by others as last seen, keeps no worker from its trial
@@ -29,7 +38,7 @@
 KEYS_COUNT, KEYS_FADE = 0.2, 0.02  # keys steer all placement from this share of arrivals; how fast it moves
 
 
-class Dispatcher:
+class Scheduler:
     """One node. It shares nothing with other nodes; same events, same actions."""
 
     def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
@@ -37,15 +46,15 @@
         self.out: list[api.Action] = []
         self.index = {each.name: i for i, each in enumerate(settings.classes)}
         tenants = settings.tenants or (api.Tenant("", 1.0),)
-        self.ledgers: dict[str | None, Ledger] = {
-            each.name: Ledger(each.rate / settings.nodes, now, len(self.index)) for each in tenants
+        self.ledgers: dict[str | None, TokenAccount] = {
+            each.name: TokenAccount(each.rate / settings.nodes, now, len(self.index)) for each in tenants
         }
-        self.ledgers[None] = Ledger(0.0, now, len(self.index))  # whoever is on no list
-        self.home: list[View] = []  # own part of the fleet
-        self.near: list[View] = []  # others' in this zone
-        self.far: list[View] = []  # others' beyond
-        self.others: list[View] = []  # near and far
-        self.fed: list[View] = []  # those of them that this node feeds while they are cold
+        self.ledgers[None] = TokenAccount(0.0, now, len(self.index))  # whoever is on no list
+        self.home: list[WorkerState] = []  # own part of the fleet
+        self.near: list[WorkerState] = []  # others' in this zone
+        self.far: list[WorkerState] = []  # others' beyond
+        self.others: list[WorkerState] = []  # near and far
+        self.fed: list[WorkerState] = []  # those of them that this node feeds while they are cold
         # A cold worker is fed by as many nodes as it may have slots, whoever is down, each with a part of the
         # budget that holds a job. They are found by the worker's id alone, so that late lists cannot add any.
         jobs = (
@@ -57,9 +66,9 @@
             / (2.0 * sum(each.aim for each in settings.classes) / len(settings.classes))
         )
         self.feeders = max(1, min(settings.nodes, int(GUESS), int(jobs)))
-        self.views: dict[int, View] = {}  # workers
-        self.members: dict[View, str] = {}  # workers with their kinds, as dealt out last
-        self.order: list[View] = []  # the same, in the order of the deal
+        self.views: dict[int, WorkerState] = {}  # workers
+        self.members: dict[WorkerState, str] = {}  # workers with their kinds, as dealt out last
+        self.order: list[WorkerState] = []  # the same, in the order of the deal
         self.kinds: dict[str, float] = {}  # slots by kind
         self.ring: list[tuple[int, int]] = []  # hash ring of ids, if needed
         self.jobs: dict[str, Job] = {}  # unanswered jobs by id
@@ -67,16 +76,16 @@
         self.spoilt: deque[Job] = deque()  # held behind the rest: too late
         self.over: deque[Job] = deque()  # held behind the rest: beyond the share
         self.waiting, self.looking, self.lines = 0, False, 0
-        self.first: Callable[[Job], View | None] | None = None  # see zones/trial.py
+        self.first: Callable[[Job], WorkerState | None] | None = None  # see zones/trial.py
         self.work = [2.0 * each.aim for each in settings.classes]  # mean time of a served attempt, by class
         self.quick = {zone: 10.0 if zone == settings.zone else 60.0 for zone in (*settings.zones, "")}
         self.busy, self.keys = 0.5, 0.0  # shares: of slots in use, as far as seen; of arrivals with a key
         self.asks = settings.probes and "free_slots" in settings.report_fields
         self.looks = 1.0  # probes that may be sent
-        self.seen: list[View] = []  # others' workers that were seen just now
+        self.seen: list[WorkerState] = []  # others' workers that were seen just now
         self.accepts, self.feeding = False, True  # the host tells of taken jobs; cold workers may be fed here
         self.proves = any(each.effect == "safe" for each in settings.classes)
-        self.alarms = Alarms(settings.tick)
+        self.alarms = TimerQueue(settings.tick)
         if settings.subscribe:
             self.alarms.add(now + self.rng.uniform(0, 1000.0), lambda: self.out.append(api.Watch()))
 
@@ -101,7 +110,7 @@
             view = self.views.get(entry.id)
             if view is None:
                 changed, total = True, self.kinds.get(entry.kind, GUESS)
-                view = self.views[entry.id] = View(entry, 0.0, total)
+                view = self.views[entry.id] = WorkerState(entry, 0.0, total)
             elif view.entry == entry and entry.feeder is None and not self.set.live_weights:
                 continue
             changed |= view.entry._replace(weight=entry.weight) != entry
@@ -119,8 +128,8 @@
         self._drain()
 
     def feeds(self, worker: int) -> bool:
-        own = mix(worker, self.set.node), -self.set.node
-        larger = (node for node in range(self.set.nodes) if (mix(worker, node), -node) > own)
+        own = stable_hash(worker, self.set.node), -self.set.node
+        larger = (node for node in range(self.set.nodes) if (stable_hash(worker, node), -node) > own)
         return self.feeding and len(list(islice(larger, self.feeders))) < self.feeders
 
     def divide(self) -> None:
@@ -129,7 +138,7 @@
         self.home, self.near, self.far = [], [], []
         members = {view: view.entry.kind for view in self.views.values()}
         if members != self.members:  # otherwise each stays where it was dealt to
-            self.members, self.order = members, sorted(members, key=View.deal_key)
+            self.members, self.order = members, sorted(members, key=WorkerState.deal_key)
             count, loads = self.set.nodes, [0] * self.set.nodes
             for rank, view in enumerate(self.order):
                 turn, most = 0, rank // count + 1
@@ -145,12 +154,12 @@
         self.fed = [view for view in self.others if view.owner and view.entry.started > 0]
         self.ring = []  # of no use to most nodes, and long to make: at the next key
 
-    def _observe(self, view: View, inflight: float) -> None:
+    def _observe(self, view: WorkerState, inflight: float) -> None:
         """Take in a sight of how many jobs a worker holds; what is not ours is others'."""
         view.observe(inflight, self.now)
         self.busy += 0.01 * (min(1.0, inflight / max(view.total, 1.0)) - self.busy)
 
-    def _report(self, view: View, report: tuple[float, ...] | None) -> None:
+    def _report(self, view: WorkerState, report: tuple[float, ...] | None) -> None:
         got = dict(zip(self.set.report_fields, report or (), strict=False))
         inflight, queue, free = got.get("inflight"), got.get("queue", 0.0), got.get("free_slots")
         kind = view.entry.kind
@@ -203,7 +212,7 @@
             self.seen += [] if view.home else [view]
             self._drain()
 
-    def _ledger(self, job: Job) -> Ledger:
+    def _ledger(self, job: Job) -> TokenAccount:
         return self.ledgers.get(job.req.tenant or "", self.ledgers[None])
 
     def _hold(self, job: Job) -> None:
@@ -250,9 +259,9 @@
     def _unhold(self, job: Job) -> None:
         self.waiting, job.held = self.waiting - job.held, False
 
-    def _next(self) -> tuple[Job, View] | None:
+    def _next(self) -> tuple[Job, WorkerState] | None:
         queues: list[deque[Job]] = []
-        order: list[tuple[float, Ledger]] = []
+        order: list[tuple[float, TokenAccount]] = []
         failed: list[tuple[int, float, str | None]] = []
         for ledger in self.ledgers.values():
             for queue in ledger.held:
@@ -287,7 +296,7 @@
     def keyed(self) -> bool:
         return self.keys >= KEYS_COUNT
 
-    def _free(self, view: View) -> float:
+    def _free(self, view: WorkerState) -> float:
         """Slots believed idle: the assumed total less what we hold and what others do, as last seen."""
         alone = (view.home and not self.keyed()) or (view.owner and self._cold(view))
         prior = 0.0 if alone else self.busy * view.total
@@ -296,7 +305,7 @@
             others = 0.0  # it fades but never ends: off the limit of 1 after a rest, it left no slot ever
         return min(view.total, view.limit) - view.held - others
 
-    def _usable(self, view: View, job: Job) -> bool:
+    def _usable(self, view: WorkerState, job: Job) -> bool:
         """Whether this job may go to this worker at all."""
         entry, cls, now = view.entry, job.cls, self.now
         if entry.state != "healthy" or now < view.rest_until or cls.kind not in (None, entry.kind):
@@ -319,7 +328,7 @@
             and (cls.group == "zone" or first.cell == entry.cell)
         )
 
-    def _cold_allows(self, view: View, job: Job) -> bool:
+    def _cold_allows(self, view: WorkerState, job: Job) -> bool:
         """Keep a cold worker under its budget: its feeders alone, each with its part, send to it."""
         s, age = self.set, self.now - view.entry.started
         if not self._cold(view) or not view.owner:
@@ -332,10 +341,10 @@
         spent += self.work[job.index] * job.req.slots
         return spent <= budget and view.held + job.req.slots <= math.ceil(view.total / self.feeders)
 
-    def _cold(self, view: View) -> bool:
+    def _cold(self, view: WorkerState) -> bool:
         return view.entry.started > 0 and self.now - view.entry.started < self.set.cold_ms
 
-    def _fits(self, view: View, job: Job, slack: float = 0.0) -> bool:
+    def _fits(self, view: WorkerState, job: Job, slack: float = 0.0) -> bool:
         if view.held + job.req.slots > min(view.total, view.limit) or (
             self.set.counts_memory and view.held and view.memory + job.req.memory > view.total
         ):
@@ -344,16 +353,16 @@
             return False  # back from a rest, a worker proves itself on a job that may be repeated
         return self._free(view) + slack >= job.req.slots and self._usable(view, job)
 
-    def _place(self, job: Job) -> View | None:
+    def _place(self, job: Job) -> WorkerState | None:
         """A worker with room: for keys one that keeps them; else the fastest at home; else a neighbour."""
         if len(job.attempts) >= self.set.max_attempts or any(each.open for each in job.attempts):
             return None
         return (self.first and self.first(job)) or self._room(job)
 
-    def _room(self, job: Job) -> View | None:
+    def _room(self, job: Job) -> WorkerState | None:
         if job.req.key is not None:
             return self._place_key(job)
-        best: View | None = None
+        best: WorkerState | None = None
         self.fed = [view for view in self.fed if self._cold(view)]
         # What cannot be called back from a queue goes only where a slot was seen to be idle.
         own, blind = self.home + self.fed, not self.asks or job.cls.effect != "unsafe" or self.looks < 1.0
@@ -370,17 +379,17 @@
                     best = view
         return best
 
-    def _place_key(self, job: Job) -> View | None:
+    def _place_key(self, job: Job) -> WorkerState | None:
         if not self.ring:
             self.ring = sorted(
-                (mix(v.entry.id, 7919, i), v.entry.id)
+                (stable_hash(v.entry.id, 7919, i), v.entry.id)
                 for v in self.views.values()
                 if v.entry.state == "healthy"
                 for i in range(math.ceil(16 * min(v.size, 8.0)))
             )
         # All nodes send a key to the same workers: each may have its part of the slots there, one at least.
         most = max(1.0, 1.25 * GUESS / self.set.nodes)
-        at, seen = bisect(self.ring, (mix(*job.req.key.encode()), 0)), set()
+        at, seen = bisect(self.ring, (stable_hash(*job.req.key.encode()), 0)), set()
         for i in range(min(len(self.ring), SCAN)):
             worker = self.ring[(at + i) % len(self.ring)][1]
             view = self.views[worker]
@@ -390,7 +399,7 @@
             seen.add(worker)
         return None
 
-    def _send(self, job: Job, view: View) -> None:
+    def _send(self, job: Job, view: WorkerState) -> None:
         self._unhold(job)
         number = len(job.attempts)
         attempt = Attempt(job, view, self.now)
@@ -478,7 +487,7 @@
             and len(job.attempts) < self.set.max_attempts - 1
         )
 
-    def _strike(self, view: View, why: str) -> None:
+    def _strike(self, view: WorkerState, why: str) -> None:
         """Set a failing worker aside, longer each time; a worker that fails fast only looks free."""
         if self.now < view.rest_until:
             return
@@ -523,7 +532,7 @@
             self._again(live)
         self._drain()
 
-    def _served(self, view: View, job: Job, attempt: Attempt, full: bool, elapsed: float) -> None:
+    def _served(self, view: WorkerState, job: Job, attempt: Attempt, full: bool, elapsed: float) -> None:
         took = self.now - attempt.started if attempt.started else elapsed or self.now - attempt.at
         mean = self.work[job.index]
         view.pace += 0.1 * (min(took / mean, 4.0) - view.pace)
@@ -574,12 +583,12 @@
 
 
 HANDLERS = {
-    api.WorkerList: Dispatcher._listed,
-    api.Request: Dispatcher._arrive,
-    api.Outcome: Dispatcher._ended,
-    api.Note: Dispatcher._note,
-    api.Accepted: Dispatcher._accepted,
-    api.ProbeResult: Dispatcher._probed,
-    api.ClientGone: Dispatcher._left,
-    api.StreamStarted: Dispatcher._left,
+    api.WorkerList: Scheduler._listed,
+    api.Request: Scheduler._arrive,
+    api.Outcome: Scheduler._ended,
+    api.Note: Scheduler._note,
+    api.Accepted: Scheduler._accepted,
+    api.ProbeResult: Scheduler._probed,
+    api.ClientGone: Scheduler._left,
+    api.StreamStarted: Scheduler._left,
 }
--- a/spanwing/scheduler_state.py
+++ b/spanwing/scheduler_state.py
@@ -35,7 +35,7 @@
     """One send of a job; it holds its slots at the worker until its outcome."""
 
     job: Job
-    view: View
+    view: WorkerState
     at: float
     open: bool = True
     started: float = 0.0  # when the worker said so; 0: not yet
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class View:
+class WorkerState:
     """What this node knows of a worker."""
 
     entry: Worker
@@ -88,17 +88,17 @@
 
     def deal_key(self) -> tuple[str, int]:
         """Returns the place of the worker in the order in which all are dealt out."""
-        self.rank = self.rank or mix(self.entry.id)
+        self.rank = self.rank or stable_hash(self.entry.id)
         return self.entry.kind, self.rank
 
     def node_at(self, turn: int, count: int) -> int:
         """Returns the node that the id's hash number turn names, among count nodes."""
         while turn >= len(self.nodes):
-            self.nodes.append(mix(self.entry.id, FIRST_TURN + len(self.nodes)) % count)
+            self.nodes.append(stable_hash(self.entry.id, FIRST_TURN + len(self.nodes)) % count)
         return self.nodes[turn]
 
 
-class Ledger:
+class TokenAccount:
     """A tenant's counters: tokens earned by elapsed time x rate, tokens spent by dispatches."""
 
     def __init__(self, rate: float, now: float, classes: int) -> None:
@@ -121,7 +121,7 @@
         return self.spent / max(self.earned, 1.0)
 
 
-class Alarms:
+class TimerQueue:
     """Calls due later, on the timers of the node that runs it."""
 
     def __init__(self, tick: float) -> None:
@@ -147,7 +147,7 @@
         return [SetTimer(self.set_for - now, 0)]
 
 
-def mix(*values: int) -> int:
+def stable_hash(*values: int) -> int:
     """A stable hash, the same in every process."""
     h = 0x9E3779B97F4A7C15
     for value in values:
--- a/spanwing/simulation/scheduler.py
+++ b/spanwing/simulation/scheduler.py
@@ -13,7 +13,7 @@
 from typing import Any, Protocol
 
 from spanwing import interface as api
-from spanwing.scheduler import Dispatcher
+from spanwing.scheduler import Scheduler
 from spanwing.simulation.event_queue import EventQueue, ScheduledCall
 
 TIMEOUT_MARGIN_MS = 1.0  # as in the core: an attempt times out this long before the client's deadline
@@ -101,7 +101,7 @@
         environment: SchedulerEnvironment,
     ) -> None:
         self.name, self.zone, self.event_queue, self.environment = name, zone, event_queue, environment
-        self.decision_module = Dispatcher(settings, seed, event_queue.now_ms)
+        self.decision_module = Scheduler(settings, seed, event_queue.now_ms)
         self.settings, self.seed = settings, seed
         self.pending_requests: dict[str, SimulatedRequest] = {}
         self.open_attempts: dict[tuple[str, int], SimulatedAttempt] = {}
--- a/spanwing/zones/agent.py
+++ b/spanwing/zones/agent.py
@@ -14,8 +14,8 @@
 from heapq import nlargest
 
 from spanwing import interface as api
-from spanwing.scheduler import Dispatcher
-from spanwing.scheduler_state import View, mix
+from spanwing.scheduler import Scheduler
+from spanwing.scheduler_state import WorkerState, stable_hash
 from spanwing.zones.evidence import (
     FAULT_PROBE_INTERVAL_MS,
     EvidenceCollector,
@@ -104,7 +104,7 @@
         self.announced_workers.update((each.id, each) for each in changed)
         return changed
 
-    def restart_concurrency_limits(self, scheduler: Dispatcher) -> None:
+    def restart_concurrency_limits(self, scheduler: Scheduler) -> None:
         """Sets the limit of newly admitted workers to one request, as after a backoff.
 
         Such a worker first has to succeed on an idempotent request. Called once the scheduler has these
@@ -128,7 +128,7 @@
             if len(self.first_positions) > 2 * len(self.routing_filter.workers) + 64:
                 self.first_positions.clear()
             self.first_positions[worker] = nlargest(
-                1, range(self.scheduler_count), key=lambda node: mix(worker, node)
+                1, range(self.scheduler_count), key=lambda node: stable_hash(worker, node)
             )[0]
         return self.first_positions[worker]
 
@@ -233,13 +233,15 @@
         return [*found, *self.background_probes]
 
     def build_evidence_report(
-        self, now: float, worker_states: Iterable[View], module_now: float
+        self, now: float, worker_states: Iterable[WorkerState], module_now: float
     ) -> EvidenceReport:
         """Returns the report for the next renewal; worker_states: the scheduler's."""
         return self.evidence_collector.build_report(now, slots_by_zone(worker_states, module_now))
 
 
-def slots_by_zone(worker_states: Iterable[View], module_now: float) -> Iterator[tuple[str, float, float]]:
+def slots_by_zone(
+    worker_states: Iterable[WorkerState], module_now: float
+) -> Iterator[tuple[str, float, float]]:
     """Yields zone, slots in flight and idle slots of each listed worker.
 
     Only owned workers that are not in backoff have idle slots.
--- a/spanwing/zones/state.py
+++ b/spanwing/zones/state.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from spanwing.scheduler_state import mix
+from spanwing.scheduler_state import stable_hash
 from spanwing.store.document import Document
 
 RETURN_STEPS = 4
@@ -110,7 +110,7 @@
 
 def admission_order(worker_ids: list[int]) -> list[int]:
     """Returns a zone's workers in the order of admission, the same at every scheduler."""
-    return sorted(worker_ids, key=lambda each: (mix(each, 104729), each))
+    return sorted(worker_ids, key=lambda each: (stable_hash(each, 104729), each))
 
 
 @lru_cache(4096)
@@ -121,4 +121,4 @@
 
 def choose_feeders(worker: int, sessions: list[str], count: int) -> list[str]:
     """Returns the sessions that feed this worker: those with the highest hash (rendezvous hashing)."""
-    return nlargest(count, sessions, key=lambda each: (mix(worker, session_hash(each)), each))
+    return nlargest(count, sessions, key=lambda each: (stable_hash(worker, session_hash(each)), each))
--- a/spanwing/zones/trial_requests.py
+++ b/spanwing/zones/trial_requests.py
@@ -8,8 +8,8 @@
 
 from collections.abc import Iterable
 
-from spanwing.scheduler import Dispatcher
-from spanwing.scheduler_state import Job, View
+from spanwing.scheduler import Scheduler
+from spanwing.scheduler_state import Job, WorkerState
 
 TRIAL_WINDOW_MS = 1000.0  # a worker gets its trial within this, or none
 
@@ -17,10 +17,10 @@
 class TrialPlacement:
     """A placement that the scheduler consults first for each request."""
 
-    def __init__(self, scheduler: Dispatcher, workers: Iterable[int], now: float) -> None:
+    def __init__(self, scheduler: Scheduler, workers: Iterable[int], now: float) -> None:
         self.scheduler, self.untried_workers, self.ends_at_ms = scheduler, set(workers), now + TRIAL_WINDOW_MS
 
-    def __call__(self, job: Job) -> View | None:
+    def __call__(self, job: Job) -> WorkerState | None:
         """Returns a worker still to be tried that can take this request; None: place it as usual."""
         if self.scheduler.now >= self.ends_at_ms or not self.untried_workers:
             self.scheduler.first = None
@@ -35,7 +35,7 @@
         return None
 
 
-def start_trials(scheduler: Dispatcher, workers: list[int], now: float) -> None:
+def start_trials(scheduler: Scheduler, workers: list[int], now: float) -> None:
     """Has each of these workers get one request that would have gone elsewhere.
 
     now: ms, by the scheduler's clock. Replaces the trials of an earlier call.
--- a/spanwing/zones/unreachable_work.py
+++ b/spanwing/zones/unreachable_work.py
@@ -8,7 +8,7 @@
 
 from typing import NamedTuple
 
-from spanwing.scheduler import HANDLERS, Dispatcher
+from spanwing.scheduler import HANDLERS, Scheduler
 
 
 class ZoneUnreachable(NamedTuple):
@@ -17,7 +17,7 @@
     zone: str
 
 
-def _fail_unreachable_work(module: Dispatcher, event: ZoneUnreachable) -> None:
+def _fail_unreachable_work(module: Scheduler, event: ZoneUnreachable) -> None:
     if not module.waiting:
         return
     for job in [each for each in module.jobs.values() if each.held and each.cls.effect == "keyed"]:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -18,7 +18,7 @@
     Worker,
     WorkerList,
 )
-from spanwing.scheduler import Dispatcher
+from spanwing.scheduler import Scheduler
 
 # The same verdict every time: the examples are those of a fixed seed, and none is kept between runs.
 hypothesis_settings.register_profile("same", derandomize=True, database=None, deadline=None)
@@ -52,7 +52,7 @@
         self.now, self.due, self.count = 0.0, [], 0
         self.tried: dict[str, int] = {}
         self.seen: list[Action] = []
-        self.node = Dispatcher(given or settings(), seed, self.now)
+        self.node = Scheduler(given or settings(), seed, self.now)
         if workers:
             self.feed(WorkerList("persisted", tuple(Worker(n + 1) for n in range(workers))))
 
--- a/tests/golden_messages.py
+++ b/tests/golden_messages.py
@@ -28,8 +28,8 @@
 from spanwing.policy import coordinator as chair
 from spanwing.policy import policy_cache as kept
 from spanwing.policy import records as record
-from spanwing.scheduler import Dispatcher
-from spanwing.scheduler_state import Attempt, Job, View
+from spanwing.scheduler import Scheduler
+from spanwing.scheduler_state import Attempt, Job, WorkerState
 from spanwing.store import claims, document, peer
 from spanwing.store import leader as keeper
 from spanwing.store import messages as store_messages
@@ -362,8 +362,8 @@
     }
 
 
-def _view() -> View:
-    view = View(
+def _view() -> WorkerState:
+    view = WorkerState(
         entry=api.Worker(11),
         owner=0.0,
         total=4.5,
@@ -389,16 +389,16 @@
     return view
 
 
-def _unseen() -> View:
-    return View(api.Worker(12), 0.0, 4.5)
+def _unseen() -> WorkerState:
+    return WorkerState(api.Worker(12), 0.0, 4.5)
 
 
-def _dispatcher() -> Dispatcher:
+def _dispatcher() -> Scheduler:
     cls = api.ServiceClass("schedule-apply", aim=300.0, deadline=5000.0)
     told = api.Settings(
         (cls,), zone="galway", zones=("galway", "sligo"), tenants=(api.Tenant("corrib", 2.0),)
     )
-    module = Dispatcher(told, 1, 1.5)
+    module = Scheduler(told, 1, 1.5)
     (
         module.work,
         module.kinds,
@@ -437,11 +437,11 @@
 def taken_over(workers: bytes, module: bytes) -> tuple[bytes, bytes]:
     """The state of a fresh module after it took over these two messages, told on in the same form."""
     told, of_all = messages.decode_message(workers), messages.decode_message(module)
-    fresh = Dispatcher(_dispatcher().set, 2, 0.0)
+    fresh = Scheduler(_dispatcher().set, 2, 0.0)
     learned.import_scheduler(fresh, of_all, 0.0)
     views = []
     for seen in told.estimates:
-        view = View(api.Worker(seen.worker_id), 0.0, 1.0)
+        view = WorkerState(api.Worker(seen.worker_id), 0.0, 1.0)
         learned.import_worker(view, seen, 100.5)
         views.append(learned.export_worker(view))
     return (
--- a/tests/test_decision_digests.py
+++ b/tests/test_decision_digests.py
@@ -24,7 +24,7 @@
 import msgspec
 
 from spanwing import interface as api
-from spanwing.scheduler import Dispatcher
+from spanwing.scheduler import Scheduler
 from spanwing.settings import PlatformSettings, scheduler_settings
 from spanwing.zones.unreachable_work import ZoneUnreachable
 
@@ -62,7 +62,7 @@
     """The module under test: options and events in plain words, actions as tuples of a word and values."""
 
     def __init__(self, options: dict, seed: int, now: float) -> None:
-        self.module = Dispatcher(scheduler_settings(msgspec.convert(options, PlatformSettings)), seed, now)
+        self.module = Scheduler(scheduler_settings(msgspec.convert(options, PlatformSettings)), seed, now)
 
     def take(self, now: float, word: str, values: tuple) -> list[tuple]:
         return [(WORDS[type(each)], *each) for each in self.module.handle(now, EVENTS[word](*values))]
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -14,7 +14,7 @@
 from measure.fleet import simulated
 from measure.zoneday import play
 from spanwing import interface as api
-from spanwing.scheduler import Dispatcher
+from spanwing.scheduler import Scheduler
 from spanwing.store.document import Document, Transaction
 from spanwing.store.leader import Leader
 from spanwing.store.messages import Renew, RenewalGranted
@@ -436,7 +436,7 @@
             group="zone",
             window=4000,
         )
-        node = Dispatcher(api.Settings(classes=(cls,), max_attempts=5, cancel=True), 1, 0.0)
+        node = Scheduler(api.Settings(classes=(cls,), max_attempts=5, cancel=True), 1, 0.0)
         node.handle(
             0.0,
             api.WorkerList("persisted", (api.Worker(1, zone="a"), api.Worker(2, zone="b"))),
