--- a/spanwing/adapter.py
+++ b/spanwing/adapter.py
@@ -130,17 +130,19 @@
     "Wakeup": lambda _, token, *rest: api.TimerDue(token),
     "AckFirst": lambda _, rid, trial, worker, *rest: api.StreamStarted(rid, trial, worker),
     "ClientLeft": lambda _, rid, *rest: api.ClientGone(rid),
-    "StatusNote": lambda _, rid, trial, worker, topic, *rest: api.Note(rid, trial, worker, topic == 1),
+    "StatusNote": lambda _, rid, trial, worker, topic, *rest: api.ProgressReport(
+        rid, trial, worker, topic == 1
+    ),
 }
 
 ACTION_ENCODERS: dict[type, Callable[[str, Any], list]] = {
     api.Send: lambda node, a: ["CallOut", node, a.request, a.worker, a.timeout],
     api.Cancel: lambda node, a: ["CallOff", node, a.request, a.attempt],
-    api.Refuse: lambda node, a: ["Deny", node, a.request, a.retry_after],
+    api.Reject: lambda node, a: ["Deny", node, a.request, a.retry_after],
     api.Fail: lambda node, a: ["EndFailed", node, a.request],
     api.SetTimer: lambda node, a: ["SetTimer", node, a.delay, a.token],
     api.Probe: lambda node, a: ["Poll", node, a.worker],
-    api.TellPeers: lambda node, a: ["WritePeer", node, "all", a.payload],
+    api.BroadcastToPeers: lambda node, a: ["WritePeer", node, "all", a.payload],
     api.Watch: lambda node, a: ["Observe", node, True],
     api.Log: lambda node, a: ["Record", node, a.line],
 }
--- a/spanwing/core/request_manager.py
+++ b/spanwing/core/request_manager.py
@@ -410,7 +410,7 @@
     def _handle_progress(self, message: AttemptProgress) -> None:
         attempt = self.in_flight.get((message.request, message.number))
         if attempt is not None:
-            event = api.Note(message.request, message.number, attempt.worker, message.has_started)
+            event = api.ProgressReport(message.request, message.number, attempt.worker, message.has_started)
             self._dispatch_event(event, self._scheduler_of(message.request))
 
     def _handle_accepted(self, message: AttemptAccepted) -> None:
@@ -670,7 +670,7 @@
     def _log_line(self, action: api.Log) -> None:
         log.info("%s", action.line)
 
-    def _broadcast_to_peers(self, action: api.TellPeers) -> None:
+    def _broadcast_to_peers(self, action: api.BroadcastToPeers) -> None:
         log.warning("peers cannot be told here: %s", action.payload)
 
 
@@ -692,12 +692,12 @@
     api.Send: RequestManager._forward,
     api.Cancel: RequestManager._handle_cancel,
     api.Probe: RequestManager._handle_probe,
-    api.Refuse: lambda self, a: self._answer_request(
+    api.Reject: lambda self, a: self._answer_request(
         a.request, FinalAnswer("refused", retry_after_ms=a.retry_after)
     ),
     api.Fail: lambda self, a: self._answer_request(a.request, FinalAnswer("failed")),
     api.SetTimer: RequestManager._set_timer,
     api.Log: RequestManager._log_line,
-    api.TellPeers: RequestManager._broadcast_to_peers,
+    api.BroadcastToPeers: RequestManager._broadcast_to_peers,
     api.Watch: lambda self, _: self.directory.watch(),
 }
--- a/spanwing/interface.py
+++ b/spanwing/interface.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from typing import Literal, NamedTuple
 
-Effect = Literal["safe", "keyed", "unsafe"]
-Group = Literal["all", "zone", "cell"]
+Idempotency = Literal["safe", "keyed", "unsafe"]
+RepeatGroup = Literal["all", "zone", "cell"]
 State = Literal["healthy", "draining", "gone"]
 Result = Literal["ok", "error", "full", "timeout", "unreachable", "reset", "cancelled", "moot", "rejected"]
 
@@ -26,8 +26,8 @@
     worth: float = 1.0
     late_worth: float = 0.0
     stretch: float = 0.0  # the aim grows by this multiple of the job's own running time
-    effect: Effect = "safe"
-    group: Group = "all"
+    effect: Idempotency = "safe"
+    group: RepeatGroup = "all"
     window: float = 0.0
     streamed: bool = False
     kind: str | None = None  # the only kind of worker that runs it; None: any
@@ -173,7 +173,7 @@
     report: tuple[float, ...] | None = None
 
 
-class Note(NamedTuple):
+class ProgressReport(NamedTuple):
     """A word from a worker on a running attempt: it has started, or how far it is."""
 
     request: str
@@ -230,7 +230,7 @@
     WorkerList
     | Request
     | Outcome
-    | Note
+    | ProgressReport
     | Accepted
     | ProbeResult
     | ClientGone
@@ -255,7 +255,7 @@
     attempt: int
 
 
-class Refuse(NamedTuple):
+class Reject(NamedTuple):
     """Final answer: not done, trying again is harmless."""
 
     request: str
@@ -281,7 +281,7 @@
     worker: int
 
 
-class TellPeers(NamedTuple):
+class BroadcastToPeers(NamedTuple):
     """Send a short message to every other node."""
 
     payload: str
@@ -297,4 +297,4 @@
     line: str
 
 
-Action = Send | Cancel | Refuse | Fail | SetTimer | Probe | TellPeers | Watch | Log
+Action = Send | Cancel | Reject | Fail | SetTimer | Probe | BroadcastToPeers | Watch | Log
--- a/spanwing/scheduler.py
+++ b/spanwing/scheduler.py
@@ -240,7 +240,7 @@
         """A held job that can hardly be in time is refused, or where late pays waits behind the others."""
         job.spoilt |= job.held
         if job.held and (job.cls.late_worth <= 0 or job.over) and self._may_refuse(job):
-            self._finish(job, api.Refuse(job.req.id, self._comeback(job)))
+            self._finish(job, api.Reject(job.req.id, self._comeback(job)))
         elif job.held:
             self.spoilt.append(job)
 
@@ -418,7 +418,7 @@
         if self.set.tells_start:
             self.alarms.add(self.now + 3.0 * quick + 2 * self.set.tick, self._late_start, attempt, number)
 
-    def _note(self, note: api.Note) -> None:
+    def _note(self, note: api.ProgressReport) -> None:
         attempt = self.open.get((note.request, note.attempt))
         if attempt is not None:
             attempt.view.heard = attempt.noted = self.now
@@ -560,7 +560,7 @@
     def _end(self, job: Job) -> None:
         """The answer owed when nothing more can be tried, or time is up."""
         if self.jobs.get(job.req.id) is job:  # and no later one whose client came again under its id
-            self._finish(job, api.Refuse(job.req.id) if self._may_refuse(job) else api.Fail(job.req.id))
+            self._finish(job, api.Reject(job.req.id) if self._may_refuse(job) else api.Fail(job.req.id))
 
     def _may_refuse(self, job: Job) -> bool:
         ran = any(not each.proof for each in job.attempts)
@@ -586,7 +586,7 @@
     api.WorkerList: Scheduler._listed,
     api.Request: Scheduler._arrive,
     api.Outcome: Scheduler._ended,
-    api.Note: Scheduler._note,
+    api.ProgressReport: Scheduler._note,
     api.Accepted: Scheduler._accepted,
     api.ProbeResult: Scheduler._probed,
     api.ClientGone: Scheduler._left,
--- a/spanwing/simulation/scheduler.py
+++ b/spanwing/simulation/scheduler.py
@@ -194,7 +194,7 @@
         """Notifies the decision module of progress of an attempt, if it is open."""
         attempt = self.open_attempts.get((request_id, attempt_number))
         if attempt is not None:
-            self.receive_event(api.Note(request_id, attempt_number, attempt.worker_id, has_started))
+            self.receive_event(api.ProgressReport(request_id, attempt_number, attempt.worker_id, has_started))
 
     def attempt_accepted(self, request_id: str, attempt_number: int) -> None:
         """Notifies the decision module that the worker accepted an attempt."""
@@ -220,7 +220,7 @@
                 self._forward(action)
             case api.Cancel():
                 self._cancel_attempt(action.request, action.attempt, "cancelled")
-            case api.Refuse():
+            case api.Reject():
                 self._send_answer(action.request, "refused", action.retry_after)
             case api.Fail():
                 self._send_answer(action.request, "failed", 0.0)
--- a/tests/test_decision_digests.py
+++ b/tests/test_decision_digests.py
@@ -32,7 +32,7 @@
     "list": api.WorkerList,
     "request": api.Request,
     "outcome": api.Outcome,
-    "note": api.Note,
+    "note": api.ProgressReport,
     "accepted": api.Accepted,
     "probed": api.ProbeResult,
     "left": api.ClientGone,
@@ -44,11 +44,11 @@
 WORDS = {
     api.Send: "send",
     api.Cancel: "cancel",
-    api.Refuse: "refuse",
+    api.Reject: "refuse",
     api.Fail: "fail",
     api.SetTimer: "timer",
     api.Probe: "probe",
-    api.TellPeers: "peers",
+    api.BroadcastToPeers: "peers",
     api.Watch: "watch",
     api.Log: "log",
 }
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -17,10 +17,10 @@
     ClientGone,
     Fail,
     Log,
-    Note,
     Probe,
     ProbeResult,
-    Refuse,
+    ProgressReport,
+    Reject,
     Request,
     ServiceClass,
     Watch,
@@ -95,7 +95,7 @@
     if cls == "bill" and not never_ran:
         assert Fail(rid) in after and not sends(after)
     else:
-        assert sends(after) and not [each for each in after if isinstance(each, (Fail, Refuse))]
+        assert sends(after) and not [each for each in after if isinstance(each, (Fail, Reject))]
 
 
 def test_keyed_is_resent_only_inside_its_window():
@@ -104,13 +104,13 @@
     node.now = KEYED.window + 1.0
     after = node.end(rid, 0, sends(actions)[0].worker, "error")
     after += node.run(9100.0)
-    assert not sends(after) and after[-1] == Refuse(rid)  # group 'all' may be told that a repeat is harmless
+    assert not sends(after) and after[-1] == Reject(rid)  # group 'all' may be told that a repeat is harmless
 
 
 def test_answer_is_in_time_with_no_worker_at_all():
     node = Driver()
     rid, actions = node.ask("bill", wait=1000.0)
-    assert not sends(actions) and Refuse(rid) in node.run(1000.0 + node.node.set.answer_grace)
+    assert not sends(actions) and Reject(rid) in node.run(1000.0 + node.node.set.answer_grace)
 
 
 def test_nothing_goes_to_a_draining_worker():
@@ -211,7 +211,7 @@
     rid, actions = node.ask("bill")
     assert not sends(actions) and probes(actions) == [1]
     assert [each.request for each in sends(sight(node, 1, 3.0))] == [rid]
-    node.feed(Note(rid, 0, 1, True))
+    node.feed(ProgressReport(rid, 0, 1, True))
     node.now += 500.0
     rid, actions = node.ask("bill")
     assert not sends(actions) and probes(actions) == [1]
@@ -311,7 +311,7 @@
     node = Driver(workers=1)
     rid, _ = node.ask("look")
     assert node.end(rid, 0, 1, "ok") == [] == node.end(rid, 0, 1, "ok")
-    assert node.end("none", 3, 77, "error") == [] == node.feed(Note("none", 0, 77, True))
+    assert node.end("none", 3, 77, "error") == [] == node.feed(ProgressReport("none", 0, 77, True))
 
 
 def test_an_id_that_comes_again_is_another_request_with_its_own_time():
@@ -398,7 +398,7 @@
     busy = fill(node, 4)
     dull, _ = node.ask("look")  # late is worth nothing: refused once it has waited its aim
     old, _ = node.ask("book")
-    assert Refuse(dull) in node.run(SAFE.aim + 30.0)
+    assert Reject(dull) in node.run(SAFE.aim + 30.0)
     new, _ = node.ask("book")
     freed = node.end(busy[0][0], 0, 1, "ok") + node.end(busy[1][0], 0, 1, "ok")
     assert [each.request for each in sends(freed)] == [new, old]
--- a/tests/test_rules_random.py
+++ b/tests/test_rules_random.py
@@ -15,11 +15,11 @@
     Cancel,
     ClientGone,
     Fail,
-    Note,
     Outcome,
     Probe,
     ProbeResult,
-    Refuse,
+    ProgressReport,
+    Reject,
     Request,
     Send,
     Worker,
@@ -52,11 +52,11 @@
     def act(self, now, action):
         if isinstance(action, Send):
             self.send(now, action)
-        elif isinstance(action, (Refuse, Fail)):
+        elif isinstance(action, (Reject, Fail)):
             rid = action.request
             assert rid not in self.answers, "answered twice"
             cls, tries = self.classes[self.reqs[rid].cls], self.tries[rid]
-            if isinstance(action, Refuse) and cls.effect != "safe":
+            if isinstance(action, Reject) and cls.effect != "safe":
                 ran = [each for each in tries if each["result"] not in PROOF]
                 assert not ran or (cls.effect == "keyed" and cls.group == "all"), "refused what may have run"
             self.answers[rid] = now
@@ -170,7 +170,7 @@
             feed(Outcome(rid, n, each["worker"], result, done, 100.0, report))
         elif roll < 0.9 and outs:
             rid, n = rng.choice(outs)
-            feed(Note(rid, n, check.tries[rid][n]["worker"], True))
+            feed(ProgressReport(rid, n, check.tries[rid][n]["worker"], True))
         elif roll < 0.92:
             worker = rng.choice(list(workers))
             state = rng.choice(["healthy", "draining", "gone"])
