--- a/spanwing/core/request_manager.py
+++ b/spanwing/core/request_manager.py
@@ -127,7 +127,7 @@
             endpoint = worker.entry
             if endpoint.state != "gone":
                 listed, available = counts.get((endpoint.zone, endpoint.kind), (0, 0))
-                is_available = endpoint.state == "healthy" and worker.rest_until <= now_ms
+                is_available = endpoint.state == "healthy" and worker.ejected_until_ms <= now_ms
                 counts[endpoint.zone, endpoint.kind] = listed + 1, available + is_available
         return counts
 
@@ -135,7 +135,7 @@
         """Returns how many workers are listed, and how many of them are ejected now."""
         now_ms = self.clock.now_ms()
         workers = [view for view in self.scheduler.views.values() if view.entry.state != "gone"]
-        return len(workers), sum(view.rest_until > now_ms for view in workers)
+        return len(workers), sum(view.ejected_until_ms > now_ms for view in workers)
 
     def queued_by_class(self) -> dict[str, tuple[int, float]]:
         """Returns by class the number of queued requests and the age of the oldest in ms; classes without
--- a/spanwing/hot_restart/state_transfer.py
+++ b/spanwing/hot_restart/state_transfer.py
@@ -21,56 +21,56 @@
     """Returns the estimates of one worker."""
     return WorkerEstimates(
         worker.entry.id,
-        worker.total,
-        worker.learned,
-        worker.held,
-        worker.others,
-        None if math.isinf(worker.seen) else worker.seen,
-        worker.heard,
-        worker.tells,
-        worker.rest_until,
-        worker.strikes,
-        None if math.isinf(worker.limit) else worker.limit,
-        worker.peak,
-        worker.no_raise,
-        worker.pace,
-        list(worker.sent),
+        worker.estimated_slots,
+        worker.slots_reported,
+        worker.reserved_slots,
+        worker.foreign_slots,
+        None if math.isinf(worker.last_observed_ms) else worker.last_observed_ms,
+        worker.last_heard_ms,
+        worker.reports_progress,
+        worker.ejected_until_ms,
+        worker.ejection_count,
+        None if math.isinf(worker.concurrency_limit) else worker.concurrency_limit,
+        worker.peak_running_slots,
+        worker.capacity_fixed_until_ms,
+        worker.relative_service_time,
+        list(worker.recent_work),
     )
 
 
 def import_worker(worker: WorkerState, estimates: WorkerEstimates, now: float) -> None:
     """Sets a worker's estimates; the predecessor's reserved slots count as load of others, seen now."""
-    worker.total, worker.learned = estimates.estimated_slots, estimates.slots_reported
-    worker.others = estimates.foreign_slots + estimates.reserved_slots
-    worker.seen = (
+    worker.estimated_slots, worker.slots_reported = estimates.estimated_slots, estimates.slots_reported
+    worker.foreign_slots = estimates.foreign_slots + estimates.reserved_slots
+    worker.last_observed_ms = (
         now
         if estimates.reserved_slots
         else -math.inf
         if estimates.last_observed_ms is None
         else estimates.last_observed_ms
     )
-    worker.heard, worker.tells, worker.rest_until = (
+    worker.last_heard_ms, worker.reports_progress, worker.ejected_until_ms = (
         estimates.last_heard_ms,
         estimates.reports_progress,
         estimates.ejected_until_ms,
     )
-    worker.strikes, worker.limit = (
+    worker.ejection_count, worker.concurrency_limit = (
         estimates.ejection_count,
         math.inf if estimates.concurrency_limit is None else estimates.concurrency_limit,
     )
-    worker.peak, worker.no_raise, worker.pace = (
+    worker.peak_running_slots, worker.capacity_fixed_until_ms, worker.relative_service_time = (
         estimates.peak_running_slots,
         estimates.capacity_fixed_until_ms,
         estimates.relative_service_time,
     )
-    worker.sent.extend(estimates.recent_work)
+    worker.recent_work.extend(estimates.recent_work)
 
 
 def stop_feeding(scheduler: Scheduler) -> None:
     """Stops feeding workers that are warming up; the successor feeds them: one budget, one feeder."""
     scheduler.feeding, scheduler.fed = False, []
     for view in scheduler.views.values():
-        view.owner = 0.0
+        view.feeder_share = 0.0
 
 
 def resume_feeding(scheduler: Scheduler) -> None:
@@ -80,7 +80,7 @@
     """
     scheduler.feeding, scheduler.born = True, scheduler.now
     for view in scheduler.views.values():
-        view.owner = scheduler.feeds(view.entry.id)
+        view.feeder_share = scheduler.feeds(view.entry.id)
     scheduler.divide()
 
 
@@ -162,9 +162,9 @@
         if attempt.open:
             del scheduler.open[request_id, number]
             attempt.open, worker = False, attempt.view
-            worker.held -= job.req.slots
-            worker.memory -= job.req.memory
-            worker.running -= job.req.slots if attempt.started else 0
+            worker.reserved_slots -= job.req.slots
+            worker.reserved_memory -= job.req.memory
+            worker.running_slots -= job.req.slots if attempt.started else 0
 
 
 def _resume_request(scheduler: Scheduler, event: RequestResumed) -> None:
@@ -207,13 +207,15 @@
 
 def _reserve_slots(scheduler: Scheduler, attempt: Attempt, number: int) -> None:
     job, worker, settings = attempt.job, attempt.view, scheduler.set
-    worker.others = max(0.0, worker.others - job.req.slots)  # counted as load of others until now
-    worker.held += job.req.slots
-    worker.memory += job.req.memory
+    worker.foreign_slots = max(
+        0.0, worker.foreign_slots - job.req.slots
+    )  # counted as load of others until now
+    worker.reserved_slots += job.req.slots
+    worker.reserved_memory += job.req.memory
     start_delay_ms = scheduler.quick.get(worker.entry.zone, 10.0)
     if attempt.started:
-        worker.running += job.req.slots
-        worker.peak = max(worker.peak, worker.running)
+        worker.running_slots += job.req.slots
+        worker.peak_running_slots = max(worker.peak_running_slots, worker.running_slots)
     elif settings.tells_start:
         scheduler.alarms.add(
             attempt.at + 3.0 * start_delay_ms + 2 * settings.tick,
--- a/spanwing/scheduler.py
+++ b/spanwing/scheduler.py
@@ -115,14 +115,19 @@
                 continue
             changed |= view.entry._replace(weight=entry.weight) != entry
             if entry.feeder is not None:
-                view.owner, view.is_feeder_known = entry.feeder, True
+                view.feeder_share, view.is_feeder_known = entry.feeder, True
             elif entry.started > 0 and not view.is_feeder_known:  # nobody feeds a warm worker
-                view.owner, view.is_feeder_known = self.feeds(entry.id), True
+                view.feeder_share, view.is_feeder_known = self.feeds(entry.id), True
             if entry.started > view.entry.started:  # a new life: what was known of the old one is void
-                view.rest_until, view.strikes, view.limit, view.others = 0.0, 0, math.inf, 0.0
-            view.entry, view.size = entry, max(view.size, entry.weight)
+                view.ejected_until_ms, view.ejection_count, view.concurrency_limit, view.foreign_slots = (
+                    0.0,
+                    0,
+                    math.inf,
+                    0.0,
+                )
+            view.entry, view.max_weight = entry, max(view.max_weight, entry.weight)
             if self.set.live_weights and entry.weight > 0:
-                self._observe(view, (view.size / entry.weight - 1.0) * view.total)
+                self._observe(view, (view.max_weight / entry.weight - 1.0) * view.estimated_slots)
         if changed:
             self.divide()
         self._drain()
@@ -134,42 +139,44 @@
 
     def divide(self) -> None:
         """Deal the workers out evenly, so that a change moves few: own counts tell what own workers hold."""
-        self.views = {i: v for i, v in self.views.items() if v.entry.state != "gone" or v.held}
+        self.views = {i: v for i, v in self.views.items() if v.entry.state != "gone" or v.reserved_slots}
         self.home, self.near, self.far = [], [], []
         members = {view: view.entry.kind for view in self.views.values()}
         if members != self.members:  # otherwise each stays where it was dealt to
-            self.members, self.order = members, sorted(members, key=WorkerState.deal_key)
+            self.members, self.order = members, sorted(members, key=WorkerState.assignment_key)
             count, loads = self.set.nodes, [0] * self.set.nodes
             for rank, view in enumerate(self.order):
                 turn, most = 0, rank // count + 1
-                while loads[node := view.node_at(turn, count)] >= most:
+                while loads[node := view.candidate_node(turn, count)] >= most:
                     turn += 1
                 loads[node] += 1
-                view.home = node == self.set.node
+                view.is_owned = node == self.set.node
         for view in self.order:
             if view.entry.state == "healthy":
                 near = view.entry.zone == self.set.zone
-                (self.home if view.home else self.near if near else self.far).append(view)
+                (self.home if view.is_owned else self.near if near else self.far).append(view)
         self.others = self.near + self.far
-        self.fed = [view for view in self.others if view.owner and view.entry.started > 0]
+        self.fed = [view for view in self.others if view.feeder_share and view.entry.started > 0]
         self.ring = []  # of no use to most nodes, and long to make: at the next key
 
     def _observe(self, view: WorkerState, inflight: float) -> None:
         """Take in a sight of how many jobs a worker holds; what is not ours is others'."""
-        view.observe(inflight, self.now)
-        self.busy += 0.01 * (min(1.0, inflight / max(view.total, 1.0)) - self.busy)
+        view.observe_load(inflight, self.now)
+        self.busy += 0.01 * (min(1.0, inflight / max(view.estimated_slots, 1.0)) - self.busy)
 
     def _report(self, view: WorkerState, report: tuple[float, ...] | None) -> None:
         got = dict(zip(self.set.report_fields, report or (), strict=False))
         inflight, queue, free = got.get("inflight"), got.get("queue", 0.0), got.get("free_slots")
         kind = view.entry.kind
         if free is not None and inflight is not None:
-            view.total += (0.3 if view.learned else 1.0) * (inflight - queue + free - view.total)
-            view.learned, self.kinds[kind] = True, view.total
+            view.estimated_slots += (0.3 if view.slots_reported else 1.0) * (
+                inflight - queue + free - view.estimated_slots
+            )
+            view.slots_reported, self.kinds[kind] = True, view.estimated_slots
         elif free is not None:  # seen idle, a worker shows all its slots, and its kind's
             self.kinds[kind] = max(self.kinds.get(kind, 1.0), float(round(free)))
-            view.total, view.learned = self.kinds[kind], True
-            inflight = max(0.0, view.total - free) + queue
+            view.estimated_slots, view.slots_reported = self.kinds[kind], True
+            inflight = max(0.0, view.estimated_slots - free) + queue
         if inflight is not None:
             self._observe(view, inflight)
 
@@ -198,18 +205,25 @@
         todo = min(LOOK_AT, int(self.looks))
         some = self.rng.sample(self.others, min(len(self.others), 4 * LOOK_AT)) if todo else []
         for view in [each for each in self.home + self.fed if self._fits(each, job)] + some:
-            if todo > 0 and self.now - max(view.seen, view.asked) > FRESH_MS and self._usable(view, job):
-                view.asked, todo, self.looks = self.now, todo - 1, self.looks - 1.0
+            if (
+                todo > 0
+                and self.now - max(view.last_observed_ms, view.last_probed_ms) > FRESH_MS
+                and self._usable(view, job)
+            ):
+                view.last_probed_ms, todo, self.looks = self.now, todo - 1, self.looks - 1.0
                 self.out.append(api.Probe(view.entry.id))
 
     def _probed(self, event: api.ProbeResult) -> None:
         view = self.views.get(event.worker)
         if view is not None and event.result == "ok":
-            view.heard, view.seen = self.now, -math.inf  # what is asked for is no mean with what was seen
+            view.last_heard_ms, view.last_observed_ms = (
+                self.now,
+                -math.inf,
+            )  # what is asked for is no mean with what was seen
             self._report(view, event.report)
-            view.seen = self.now
+            view.last_observed_ms = self.now
             self.seen = [each for each in self.seen if each.is_fresh(self.now) and each is not view]
-            self.seen += [] if view.home else [view]
+            self.seen += [] if view.is_owned else [view]
             self._drain()
 
     def _ledger(self, job: Job) -> TokenAccount:
@@ -298,17 +312,19 @@
 
     def _free(self, view: WorkerState) -> float:
         """Slots believed idle: the assumed total less what we hold and what others do, as last seen."""
-        alone = (view.home and not self.keyed()) or (view.owner and self._cold(view))
-        prior = 0.0 if alone else self.busy * view.total
-        others = prior + (view.others - prior) * math.exp((view.seen - self.now) / MEMORY_MS)
-        if view.limit < view.total and others < FADED:
+        alone = (view.is_owned and not self.keyed()) or (view.feeder_share and self._cold(view))
+        prior = 0.0 if alone else self.busy * view.estimated_slots
+        others = prior + (view.foreign_slots - prior) * math.exp(
+            (view.last_observed_ms - self.now) / MEMORY_MS
+        )
+        if view.concurrency_limit < view.estimated_slots and others < FADED:
             others = 0.0  # it fades but never ends: off the limit of 1 after a rest, it left no slot ever
-        return min(view.total, view.limit) - view.held - others
+        return min(view.estimated_slots, view.concurrency_limit) - view.reserved_slots - others
 
     def _usable(self, view: WorkerState, job: Job) -> bool:
         """Whether this job may go to this worker at all."""
         entry, cls, now = view.entry, job.cls, self.now
-        if entry.state != "healthy" or now < view.rest_until or cls.kind not in (None, entry.kind):
+        if entry.state != "healthy" or now < view.ejected_until_ms or cls.kind not in (None, entry.kind):
             return False
         for each in job.attempts:
             if not each.proof and (
@@ -331,25 +347,31 @@
     def _cold_allows(self, view: WorkerState, job: Job) -> bool:
         """Keep a cold worker under its budget: its feeders alone, each with its part, send to it."""
         s, age = self.set, self.now - view.entry.started
-        if not self._cold(view) or not view.owner:
+        if not self._cold(view) or not view.feeder_share:
             return not self._cold(view)
-        share = (s.cold_from + (1.0 - s.cold_from) * max(0.0, age) / s.cold_ms) * view.owner / self.feeders
+        share = (
+            (s.cold_from + (1.0 - s.cold_from) * max(0.0, age) / s.cold_ms) * view.feeder_share / self.feeders
+        )
         if view.entry.started < self.born and self.now < self.born + s.fall_ms:
             share /= 2.0  # an earlier life of this node may just have sent all of its part
-        budget = COLD_PART * s.fall_multiple * share * view.total * s.fall_ms
-        spent = sum(work for at, work in view.sent if at > self.now - s.fall_ms)
+        budget = COLD_PART * s.fall_multiple * share * view.estimated_slots * s.fall_ms
+        spent = sum(work for at, work in view.recent_work if at > self.now - s.fall_ms)
         spent += self.work[job.index] * job.req.slots
-        return spent <= budget and view.held + job.req.slots <= math.ceil(view.total / self.feeders)
+        return spent <= budget and view.reserved_slots + job.req.slots <= math.ceil(
+            view.estimated_slots / self.feeders
+        )
 
     def _cold(self, view: WorkerState) -> bool:
         return view.entry.started > 0 and self.now - view.entry.started < self.set.cold_ms
 
     def _fits(self, view: WorkerState, job: Job, slack: float = 0.0) -> bool:
-        if view.held + job.req.slots > min(view.total, view.limit) or (
-            self.set.counts_memory and view.held and view.memory + job.req.memory > view.total
+        if view.reserved_slots + job.req.slots > min(view.estimated_slots, view.concurrency_limit) or (
+            self.set.counts_memory
+            and view.reserved_slots
+            and view.reserved_memory + job.req.memory > view.estimated_slots
         ):
             return False
-        if view.limit <= 1.0 and self.proves and job.cls.effect != "safe":
+        if view.concurrency_limit <= 1.0 and self.proves and job.cls.effect != "safe":
             return False  # back from a rest, a worker proves itself on a job that may be repeated
         return self._free(view) + slack >= job.req.slots and self._usable(view, job)
 
@@ -367,11 +389,23 @@
         # What cannot be called back from a queue goes only where a slot was seen to be idle.
         own, blind = self.home + self.fed, not self.asks or job.cls.effect != "unsafe" or self.looks < 1.0
         for view in own if len(own) <= SCAN else self.rng.sample(own, SCAN):
-            known = blind or view.is_fresh(self.now) or view.seen < view.asked < self.now - FRESH_MS
-            if (best is None or view.pace < best.pace) and known and self._fits(view, job):
+            known = (
+                blind
+                or view.is_fresh(self.now)
+                or view.last_observed_ms < view.last_probed_ms < self.now - FRESH_MS
+            )
+            if (
+                (best is None or view.relative_service_time < best.relative_service_time)
+                and known
+                and self._fits(view, job)
+            ):
                 best = view
         for view in self.seen if best is None else ():
-            if (best is None or view.pace < best.pace) and view.is_fresh(self.now) and self._fits(view, job):
+            if (
+                (best is None or view.relative_service_time < best.relative_service_time)
+                and view.is_fresh(self.now)
+                and self._fits(view, job)
+            ):
                 best = view
         for group in (self.near, self.far) if not self.asks else ():
             for view in [self.rng.choice(group) for _ in range(4)] if best is None and group else ():
@@ -385,7 +419,7 @@
                 (stable_hash(v.entry.id, 7919, i), v.entry.id)
                 for v in self.views.values()
                 if v.entry.state == "healthy"
-                for i in range(math.ceil(16 * min(v.size, 8.0)))
+                for i in range(math.ceil(16 * min(v.max_weight, 8.0)))
             )
         # All nodes send a key to the same workers: each may have its part of the slots there, one at least.
         most = max(1.0, 1.25 * GUESS / self.set.nodes)
@@ -394,7 +428,11 @@
             worker = self.ring[(at + i) % len(self.ring)][1]
             view = self.views[worker]
             # A short queue there costs less than to fetch the key elsewhere.
-            if worker not in seen and view.held < most and self._fits(view, job, view.total):
+            if (
+                worker not in seen
+                and view.reserved_slots < most
+                and self._fits(view, job, view.estimated_slots)
+            ):
                 return view
             seen.add(worker)
         return None
@@ -407,9 +445,9 @@
         self.open[job.req.id, number] = attempt
         if number == 0:
             self._ledger(job).spent += 1.0
-        view.held += job.req.slots
-        view.memory += job.req.memory
-        view.sent.append((self.now, self.work[job.index] * job.req.slots))
+        view.reserved_slots += job.req.slots
+        view.reserved_memory += job.req.memory
+        view.recent_work.append((self.now, self.work[job.index] * job.req.slots))
         self.out.append(api.Send(job.req.id, view.entry.id))
         quick = self.quick.get(view.entry.zone, 10.0)
         self.alarms.add(self.now + quick + 4.0 * self.work[job.index], self._silent, attempt, number)
@@ -421,36 +459,48 @@
     def _note(self, note: api.ProgressReport) -> None:
         attempt = self.open.get((note.request, note.attempt))
         if attempt is not None:
-            attempt.view.heard = attempt.noted = self.now
-            attempt.view.tells |= not note.started
+            attempt.view.last_heard_ms = attempt.noted = self.now
+            attempt.view.reports_progress |= not note.started
             if self.set.progress > 0 and self.set.cancel:
                 self.alarms.add(self.now + MISSED * self.set.progress, self._unheard, attempt, note.attempt)
         if attempt is not None and note.started and not attempt.started:
             view = attempt.view
             attempt.started = self.now
-            view.running += attempt.job.req.slots
-            view.peak = max(view.peak, view.running)
+            view.running_slots += attempt.job.req.slots
+            view.peak_running_slots = max(view.peak_running_slots, view.running_slots)
             took, zone = self.now - attempt.at, view.entry.zone
             quick = self.quick.get(zone, 10.0)
             if took < 3 * quick + 2 * self.set.tick:
                 self.quick[zone] = quick + 0.05 * (took - quick)
-                if view.running == view.held:  # it started at once: no more than this is taken by others
-                    view.others = min(view.others, max(0.0, view.total - view.held))
-                    view.seen = self.now
+                if (
+                    view.running_slots == view.reserved_slots
+                ):  # it started at once: no more than this is taken by others
+                    view.foreign_slots = min(
+                        view.foreign_slots, max(0.0, view.estimated_slots - view.reserved_slots)
+                    )
+                    view.last_observed_ms = self.now
 
     def _accepted(self, event: api.Accepted) -> None:
         attempt = self.open.get((event.request, event.attempt))
         if attempt is not None:
-            self.accepts, attempt.view.heard = True, self.now
+            self.accepts, attempt.view.last_heard_ms = True, self.now
 
     def _late_start(self, attempt: Attempt, number: int, again: bool = False) -> None:
         """A job not yet started lies in a queue: the count was wrong. Correct it; move what may repeat."""
         view = attempt.view
         if not attempt.open or attempt.started:
             return
-        view.others, view.seen = max(0.0, view.total - view.running), self.now
-        if not again and view.running >= view.peak > 0 and view.total > view.peak and view.home:
-            view.lower(self.now + MOST_ASIDE_MS)
+        view.foreign_slots, view.last_observed_ms = (
+            max(0.0, view.estimated_slots - view.running_slots),
+            self.now,
+        )
+        if (
+            not again
+            and view.running_slots >= view.peak_running_slots > 0
+            and view.estimated_slots > view.peak_running_slots
+            and view.is_owned
+        ):
+            view.lower_capacity(self.now + MOST_ASIDE_MS)
         if not self._may_move(attempt.job):
             return
         if self._room(attempt.job) is not None:
@@ -463,9 +513,12 @@
         """A started job of which the worker tells nothing, though it tells of jobs: it was lost there, or its
         end was. Give it up: it would hold its slots here until the client's time is over."""
         view, patience = attempt.view, MISSED * self.set.progress
-        if not attempt.open or not view.tells or self.now < attempt.noted + patience - 1.0:
+        if not attempt.open or not view.reports_progress or self.now < attempt.noted + patience - 1.0:
             return
-        if view.heard < attempt.noted + self.set.progress and self.now < attempt.noted + 2 * patience - 1.0:
+        if (
+            view.last_heard_ms < attempt.noted + self.set.progress
+            and self.now < attempt.noted + 2 * patience - 1.0
+        ):
             # Nothing of others either: it may stand still for a moment.
             self.alarms.add(attempt.noted + 2 * patience, self._unheard, attempt, number)
             return
@@ -473,7 +526,7 @@
 
     def _silent(self, attempt: Attempt, number: int) -> None:
         """Nothing heard of the worker since it should have taken the job, or ended it: it may hang."""
-        if attempt.open and attempt.view.heard <= attempt.at:
+        if attempt.open and attempt.view.last_heard_ms <= attempt.at:
             self._strike(attempt.view, "silent")
             if self._may_move(attempt.job):
                 self.out.append(api.Cancel(attempt.job.req.id, number))
@@ -489,35 +542,38 @@
 
     def _strike(self, view: WorkerState, why: str) -> None:
         """Set a failing worker aside, longer each time; a worker that fails fast only looks free."""
-        if self.now < view.rest_until:
+        if self.now < view.ejected_until_ms:
             return
-        view.strikes = min(view.strikes + 1, 6)
-        rest = min(SET_ASIDE_MS * 2 ** (view.strikes - 1), MOST_ASIDE_MS)
-        view.rest_until = self.now + rest * self.rng.uniform(0.75, 1.25)
-        view.limit = 1.0
+        view.ejection_count = min(view.ejection_count + 1, 6)
+        rest = min(SET_ASIDE_MS * 2 ** (view.ejection_count - 1), MOST_ASIDE_MS)
+        view.ejected_until_ms = self.now + rest * self.rng.uniform(0.75, 1.25)
+        view.concurrency_limit = 1.0
         self.lines += 1
         if self.lines <= LOG_LINES:
-            self.out.append(api.Log(f"worker {view.entry.id} set aside: {why}, strike {view.strikes}"))
+            self.out.append(api.Log(f"worker {view.entry.id} set aside: {why}, strike {view.ejection_count}"))
 
     def _ended(self, event: api.Outcome) -> None:
         attempt = self.open.pop((event.request, event.attempt), None)
         if attempt is None:
             return
         job, view, result = attempt.job, attempt.view, event.result
-        full = view.held + 0.5 >= view.total
-        view.held -= job.req.slots
-        view.memory -= job.req.memory
-        view.running -= job.req.slots if attempt.started else 0
+        full = view.reserved_slots + 0.5 >= view.estimated_slots
+        view.reserved_slots -= job.req.slots
+        view.reserved_memory -= job.req.memory
+        view.running_slots -= job.req.slots if attempt.started else 0
         attempt.open, attempt.proof = False, result in api.NEVER_RAN
         self._report(view, event.report)
         if result == "ok":
-            view.heard = self.now
+            view.last_heard_ms = self.now
             self._served(view, job, attempt, full, event.elapsed)
         elif result == "full":
-            view.heard = self.now
-            view.others, view.seen = (2.0 if self.keyed() else 1.0) * view.total, self.now
-            if view.home and full and not view.learned:
-                view.lower(self.now + MOST_ASIDE_MS)
+            view.last_heard_ms = self.now
+            view.foreign_slots, view.last_observed_ms = (
+                (2.0 if self.keyed() else 1.0) * view.estimated_slots,
+                self.now,
+            )
+            if view.is_owned and full and not view.slots_reported:
+                view.lower_capacity(self.now + MOST_ASIDE_MS)
         elif result in ("error", "unreachable", "timeout") or (  # a reset may be a push-out by priority
             result == "reset" and not (self.set.preempts and job.cls.effect == "safe")
         ):
@@ -535,15 +591,22 @@
     def _served(self, view: WorkerState, job: Job, attempt: Attempt, full: bool, elapsed: float) -> None:
         took = self.now - attempt.started if attempt.started else elapsed or self.now - attempt.at
         mean = self.work[job.index]
-        view.pace += 0.1 * (min(took / mean, 4.0) - view.pace)
+        view.relative_service_time += 0.1 * (min(took / mean, 4.0) - view.relative_service_time)
         self.work[job.index] = mean + 0.02 * (min(took, 3.0 * mean) - mean)
-        if self.now > view.rest_until + MOST_ASIDE_MS:
-            view.strikes = 0
-        view.rest_until = min(view.rest_until, self.now)
-        view.limit = view.limit * 2 if view.limit < view.total else math.inf
-        if full and not view.learned and self.now > view.no_raise and not view.others > 0.5:
-            view.total += 1.0
-            view.no_raise = self.now + SET_ASIDE_MS
+        if self.now > view.ejected_until_ms + MOST_ASIDE_MS:
+            view.ejection_count = 0
+        view.ejected_until_ms = min(view.ejected_until_ms, self.now)
+        view.concurrency_limit = (
+            view.concurrency_limit * 2 if view.concurrency_limit < view.estimated_slots else math.inf
+        )
+        if (
+            full
+            and not view.slots_reported
+            and self.now > view.capacity_fixed_until_ms
+            and not view.foreign_slots > 0.5
+        ):
+            view.estimated_slots += 1.0
+            view.capacity_fixed_until_ms = self.now + SET_ASIDE_MS
 
     def _again(self, job: Job) -> None:
         """No attempt is out and the client has no answer: try again where that is allowed, or end it."""
--- a/spanwing/scheduler_state.py
+++ b/spanwing/scheduler_state.py
@@ -48,54 +48,60 @@
     """What this node knows of a worker."""
 
     entry: Worker
-    owner: float  # this node is one of those that feed it while it is cold, with this part of a share
-    total: float  # slots assumed
-    home: bool = False  # of this node's part of the fleet
-    learned: bool = False  # total comes from reports
-    held: int = 0  # slots that this node's open attempts hold
-    running: int = 0  # of these, started
-    memory: float = 0.0  # held likewise
-    peak: float = 0.0  # most slots seen at work or free
-    no_raise: float = 0.0  # total is not raised before
-    others: float = 0.0  # jobs of other nodes, as last seen
-    seen: float = -math.inf
-    asked: float = -math.inf  # for its report
-    heard: float = 0.0  # last sign of life
-    tells: bool = False  # it has told of a job's progress
-    rest_until: float = 0.0
-    strikes: int = 0
-    limit: float = math.inf  # jobs at once, after a rest
-    size: float = 0.0  # largest weight listed
-    pace: float = 1.0  # time of a job here, against the mean
-    sent: deque[tuple[float, float]] = field(default_factory=lambda: deque(maxlen=64))  # work
+    feeder_share: float  # this node is one of those that feed it while it is cold, with this part of a share
+    estimated_slots: float  # slots assumed
+    is_owned: bool = False  # of this node's part of the fleet
+    slots_reported: bool = False  # total comes from reports
+    reserved_slots: int = 0  # slots that this node's open attempts hold
+    running_slots: int = 0  # of these, started
+    reserved_memory: float = 0.0  # held likewise
+    peak_running_slots: float = 0.0  # most slots seen at work or free
+    capacity_fixed_until_ms: float = 0.0  # total is not raised before
+    foreign_slots: float = 0.0  # jobs of other nodes, as last seen
+    last_observed_ms: float = -math.inf
+    last_probed_ms: float = -math.inf  # for its report
+    last_heard_ms: float = 0.0  # last sign of life
+    reports_progress: bool = False  # it has told of a job's progress
+    ejected_until_ms: float = 0.0
+    ejection_count: int = 0
+    concurrency_limit: float = math.inf  # jobs at once, after a rest
+    max_weight: float = 0.0  # largest weight listed
+    relative_service_time: float = 1.0  # time of a job here, against the mean
+    recent_work: deque[tuple[float, float]] = field(default_factory=lambda: deque(maxlen=64))  # work
     is_feeder_known: bool = False  # owner was computed, or given by the list
-    rank: int = 0  # hash of the id; 0: not computed yet
-    nodes: list[int] = field(default_factory=list)  # that the id's hashes name, in the order they are tried
+    id_hash: int = 0  # hash of the id; 0: not computed yet
+    candidate_nodes: list[int] = field(
+        default_factory=list
+    )  # that the id's hashes name, in the order they are tried
 
-    def observe(self, inflight: float, now: float) -> None:
+    def observe_load(self, inflight: float, now: float) -> None:
         """Takes in how many jobs the worker holds; those that are not this node's are others'."""
-        others = max(0.0, inflight - self.held)
-        self.others += (0.3 if now - self.seen < MEMORY_MS else 1.0) * (others - self.others)
-        self.seen = now
+        others = max(0.0, inflight - self.reserved_slots)
+        self.foreign_slots += (0.3 if now - self.last_observed_ms < MEMORY_MS else 1.0) * (
+            others - self.foreign_slots
+        )
+        self.last_observed_ms = now
 
     def is_fresh(self, now: float) -> bool:
         """Returns whether its idle slots were seen just now."""
-        return now - self.seen < FRESH_MS
+        return now - self.last_observed_ms < FRESH_MS
 
-    def lower(self, until: float) -> None:
+    def lower_capacity(self, until: float) -> None:
         """Assumes one slot less, and no more until then."""
-        self.total, self.no_raise = max(1.0, self.total - 1.0), until
+        self.estimated_slots, self.capacity_fixed_until_ms = max(1.0, self.estimated_slots - 1.0), until
 
-    def deal_key(self) -> tuple[str, int]:
+    def assignment_key(self) -> tuple[str, int]:
         """Returns the place of the worker in the order in which all are dealt out."""
-        self.rank = self.rank or stable_hash(self.entry.id)
-        return self.entry.kind, self.rank
+        self.id_hash = self.id_hash or stable_hash(self.entry.id)
+        return self.entry.kind, self.id_hash
 
-    def node_at(self, turn: int, count: int) -> int:
+    def candidate_node(self, turn: int, count: int) -> int:
         """Returns the node that the id's hash number turn names, among count nodes."""
-        while turn >= len(self.nodes):
-            self.nodes.append(stable_hash(self.entry.id, FIRST_TURN + len(self.nodes)) % count)
-        return self.nodes[turn]
+        while turn >= len(self.candidate_nodes):
+            self.candidate_nodes.append(
+                stable_hash(self.entry.id, FIRST_TURN + len(self.candidate_nodes)) % count
+            )
+        return self.candidate_nodes[turn]
 
 
 class TokenAccount:
--- a/spanwing/zones/agent.py
+++ b/spanwing/zones/agent.py
@@ -113,7 +113,7 @@
         for worker in self.newly_admitted:
             worker_state = scheduler.views.get(worker)
             if worker_state is not None and worker_state.entry.state == "healthy":
-                worker_state.limit = 1.0
+                worker_state.concurrency_limit = 1.0
         self.newly_admitted.clear()
 
     def _is_hashed_feeder(self, worker: int) -> bool:
@@ -251,13 +251,13 @@
             idle = (
                 max(
                     0.0,
-                    worker_state.total - worker_state.held - worker_state.others,
+                    worker_state.estimated_slots - worker_state.reserved_slots - worker_state.foreign_slots,
                 )
-                if worker_state.home
+                if worker_state.is_owned
                 else 0.0
             )
             yield (
                 worker_state.entry.zone,
-                float(worker_state.held),
-                idle if worker_state.rest_until <= module_now else 0.0,
+                float(worker_state.reserved_slots),
+                idle if worker_state.ejected_until_ms <= module_now else 0.0,
             )
--- a/tests/golden_messages.py
+++ b/tests/golden_messages.py
@@ -365,27 +365,27 @@
 def _view() -> WorkerState:
     view = WorkerState(
         entry=api.Worker(11),
-        owner=0.0,
-        total=4.5,
-        home=False,
-        learned=True,
-        held=2,
-        running=1,
-        memory=5.5,
-        peak=6.5,
-        no_raise=60.5,
-        others=1.5,
-        seen=90.5,
-        asked=95.5,
-        heard=80.5,
-        tells=False,
-        rest_until=70.5,
-        strikes=3,
-        limit=2.5,
-        size=7.5,
-        pace=1.25,
+        feeder_share=0.0,
+        estimated_slots=4.5,
+        is_owned=False,
+        slots_reported=True,
+        reserved_slots=2,
+        running_slots=1,
+        reserved_memory=5.5,
+        peak_running_slots=6.5,
+        capacity_fixed_until_ms=60.5,
+        foreign_slots=1.5,
+        last_observed_ms=90.5,
+        last_probed_ms=95.5,
+        last_heard_ms=80.5,
+        reports_progress=False,
+        ejected_until_ms=70.5,
+        ejection_count=3,
+        concurrency_limit=2.5,
+        max_weight=7.5,
+        relative_service_time=1.25,
     )
-    view.sent.append((50.5, 40.5))
+    view.recent_work.append((50.5, 40.5))
     return view
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -257,7 +257,7 @@
         import_worker(new.node.views[1], export_worker(old.node.views[1]), new.now)
         new.now = old.now = 600.0
         # As other jobs end there the slots are free again, but the budget of the window is spent.
-        new.node.views[1].others = 0.0
+        new.node.views[1].foreign_slots = 0.0
         again = sum(isinstance(each, Send) for _ in range(20) for each in new.ask()[1])
         late = sum(isinstance(each, Send) for _ in range(20) for each in old.ask()[1])
         alone = Driver()
@@ -282,17 +282,17 @@
         told = export_attempts(job)
         release_request(old.node, rid)
         self.assertEqual(
-            (old.node.views[worker].held, old.node.jobs, old.node.open),
+            (old.node.views[worker].reserved_slots, old.node.jobs, old.node.open),
             (0, {}, {}),
         )
         actions = new.feed(RequestResumed(api.Request(rid, "bill", 5000.0), job.born, False, False, told))
         self.assertEqual(actions, [])  # an attempt is out: nothing is sent
-        self.assertEqual(new.node.views[worker].held, 1)
+        self.assertEqual(new.node.views[worker].reserved_slots, 1)
         # Its end is the old one's no more, and answers at the new one: what must not run twice goes no more.
         self.assertEqual(old.feed(Outcome(rid, 0, worker, "ok", True, 1.0)), [])
         self.assertEqual(new.end(rid, 0, worker, "reset")[-1], api.Fail(rid))
         self.assertNotIn(api.Send, {type(each) for each in new.seen})
-        self.assertEqual(new.node.views[worker].held, 0)
+        self.assertEqual(new.node.views[worker].reserved_slots, 0)
 
     def test_a_held_request_goes_over_and_is_sent_there(self) -> None:
         from spanwing import interface as api
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -254,7 +254,7 @@
 
     def test_a_cold_worker_gets_no_job_on_trial_beyond_its_feeders(self) -> None:
         _, driver = self.scheduler("a", 0)
-        away = next(each for each in driver.node.far if not each.owner)
+        away = next(each for each in driver.node.far if not each.feeder_share)
         driver.feed(api.WorkerList("partial", (away.entry._replace(started=1.0, feeder=0.0),)))
         trial.start_trials(driver.node, [away.entry.id], driver.now)
         self.assertNotEqual(sends(driver.ask()[1])[0].worker, away.entry.id)
