--- a/spanwing/core/request_manager.py
+++ b/spanwing/core/request_manager.py
@@ -145,9 +145,9 @@
             return {}
         now_ms, queued = self.clock.now_ms(), {}
         for job in self.scheduler.jobs.values():
-            if job.held:
-                count, oldest_ms = queued.get(job.cls.name, (0, 0.0))
-                queued[job.cls.name] = count + 1, max(oldest_ms, now_ms - job.born)
+            if job.is_queued:
+                count, oldest_ms = queued.get(job.service_class.name, (0, 0.0))
+                queued[job.service_class.name] = count + 1, max(oldest_ms, now_ms - job.arrived_ms)
         return queued
 
     def unavailable_classes(self) -> dict[str, str]:
@@ -205,9 +205,9 @@
         """
         previous = self.scheduler
         self.scheduler_by_request.update(
-            dict.fromkeys((*previous.jobs, *(request for request, _ in previous.open)), previous)
+            dict.fromkeys((*previous.jobs, *(request for request, _ in previous.open_attempts)), previous)
         )
-        if previous.jobs or previous.open:
+        if previous.jobs or previous.open_attempts:
             self.retiring_schedulers.append(previous)
         self.scheduler, self.settings = scheduler, settings
         self.journal_retry_after_ms = min(JOURNAL_RETRY_AFTER_MS, settings.max_retry_after)
@@ -230,7 +230,7 @@
 
     def _drop_retired_schedulers(self) -> None:
         """Drops retiring schedulers all of whose requests have ended."""
-        remaining = [each for each in self.retiring_schedulers if each.jobs or each.open]
+        remaining = [each for each in self.retiring_schedulers if each.jobs or each.open_attempts]
         if len(remaining) < len(self.retiring_schedulers):
             self.retiring_schedulers = remaining
             self.scheduler_by_request = {
--- a/spanwing/hot_restart/hot_restart.py
+++ b/spanwing/hot_restart/hot_restart.py
@@ -403,9 +403,9 @@
             keep_alive,
             request,
             call.deadline_ms,
-            job.born,
-            job.spoilt,
-            job.over,
+            job.arrived_ms,
+            job.is_late,
+            job.is_over_quota,
             call.attempt_count,
             export_attempts(job),
         )
--- a/spanwing/hot_restart/state_transfer.py
+++ b/spanwing/hot_restart/state_transfer.py
@@ -143,12 +143,12 @@
     """Returns the attempts of a request, in their order."""
     return [
         TransferredAttempt(
-            each.view.entry.id,
-            each.at,
-            each.open,
-            each.started,
-            each.noted,
-            each.proof,
+            each.worker.entry.id,
+            each.forwarded_ms,
+            each.is_open,
+            each.started_ms,
+            each.last_progress_ms,
+            each.never_ran,
         )
         for each in request.attempts
     ]
@@ -159,12 +159,12 @@
     job = scheduler.jobs.pop(request_id)
     scheduler._unhold(job)
     for number, attempt in enumerate(job.attempts):
-        if attempt.open:
-            del scheduler.open[request_id, number]
-            attempt.open, worker = False, attempt.view
-            worker.reserved_slots -= job.req.slots
-            worker.reserved_memory -= job.req.memory
-            worker.running_slots -= job.req.slots if attempt.started else 0
+        if attempt.is_open:
+            del scheduler.open_attempts[request_id, number]
+            attempt.is_open, worker = False, attempt.worker
+            worker.reserved_slots -= job.request.slots
+            worker.reserved_memory -= job.request.memory
+            worker.running_slots -= job.request.slots if attempt.started_ms else 0
 
 
 def _resume_request(scheduler: Scheduler, event: RequestResumed) -> None:
@@ -176,8 +176,8 @@
         scheduler.set.classes[index],
         index,
         event.arrived_ms,
-        spoilt=event.is_late,
-        over=event.is_over_quota,
+        is_late=event.is_late,
+        is_over_quota=event.is_over_quota,
     )
     scheduler.jobs[req.id] = job
     scheduler.alarms.add(req.deadline, scheduler._end, job)
@@ -198,40 +198,40 @@
         )
         job.attempts.append(attempt)
         if transferred.is_open:
-            scheduler.open[req.id, number] = attempt
+            scheduler.open_attempts[req.id, number] = attempt
             _reserve_slots(scheduler, attempt, number)
-    if not any(each.open for each in job.attempts):
+    if not any(each.is_open for each in job.attempts):
         scheduler._hold(job)
         scheduler._drain()
 
 
 def _reserve_slots(scheduler: Scheduler, attempt: Attempt, number: int) -> None:
-    job, worker, settings = attempt.job, attempt.view, scheduler.set
+    job, worker, settings = attempt.job, attempt.worker, scheduler.set
     worker.foreign_slots = max(
-        0.0, worker.foreign_slots - job.req.slots
+        0.0, worker.foreign_slots - job.request.slots
     )  # counted as load of others until now
-    worker.reserved_slots += job.req.slots
-    worker.reserved_memory += job.req.memory
+    worker.reserved_slots += job.request.slots
+    worker.reserved_memory += job.request.memory
     start_delay_ms = scheduler.quick.get(worker.entry.zone, 10.0)
-    if attempt.started:
-        worker.running_slots += job.req.slots
+    if attempt.started_ms:
+        worker.running_slots += job.request.slots
         worker.peak_running_slots = max(worker.peak_running_slots, worker.running_slots)
     elif settings.tells_start:
         scheduler.alarms.add(
-            attempt.at + 3.0 * start_delay_ms + 2 * settings.tick,
+            attempt.forwarded_ms + 3.0 * start_delay_ms + 2 * settings.tick,
             scheduler._late_start,
             attempt,
             number,
         )
-    if attempt.noted and settings.progress > 0 and settings.cancel:
+    if attempt.last_progress_ms and settings.progress > 0 and settings.cancel:
         scheduler.alarms.add(
-            attempt.noted + MISSED * settings.progress,
+            attempt.last_progress_ms + MISSED * settings.progress,
             scheduler._unheard,
             attempt,
             number,
         )
     scheduler.alarms.add(
-        attempt.at + start_delay_ms + 4.0 * scheduler.work[job.index],
+        attempt.forwarded_ms + start_delay_ms + 4.0 * scheduler.work[job.class_index],
         scheduler._silent,
         attempt,
         number,
--- a/spanwing/policy/service.py
+++ b/spanwing/policy/service.py
@@ -301,7 +301,7 @@
         for request, _ in self.request_manager.in_flight:
             job = self.request_manager._scheduler_of(request).jobs.get(request)
             if job is not None and request not in self.request_manager.pending_requests:
-                open_jobs[job.cls.name] += 1
+                open_jobs[job.service_class.name] += 1
         return find_objection(
             text,
             RunningState(
--- a/spanwing/scheduler.py
+++ b/spanwing/scheduler.py
@@ -72,7 +72,7 @@
         self.kinds: dict[str, float] = {}  # slots by kind
         self.ring: list[tuple[int, int]] = []  # hash ring of ids, if needed
         self.jobs: dict[str, Job] = {}  # unanswered jobs by id
-        self.open: dict[tuple[str, int], Attempt] = {}  # attempts that are out, by id and number
+        self.open_attempts: dict[tuple[str, int], Attempt] = {}  # attempts that are out, by id and number
         self.spoilt: deque[Job] = deque()  # held behind the rest: too late
         self.over: deque[Job] = deque()  # held behind the rest: beyond the share
         self.waiting, self.looking, self.lines = 0, False, 0
@@ -187,7 +187,7 @@
         ledger.refill(self.now)
         self.keys += KEYS_FADE * ((req.key is not None) - self.keys)
         self.looks = min(self.looks + LOOKS, 10.0)
-        job.over = self.set.over_share_worth < 1.0 and not ledger.within_share()
+        job.is_over_quota = self.set.over_share_worth < 1.0 and not ledger.within_share()
         self.alarms.add(req.deadline, self._end, job)
         view = self._place(job) if ledger.earned - ledger.spent > 0 else None
         if view is not None:
@@ -195,12 +195,12 @@
         else:
             self._hold(job)
             self._drain()
-            if job.held:
+            if job.is_queued:
                 self._look(job)
 
     def _look(self, job: Job) -> None:
         """Ask others' workers, and home for what cannot be called back from there, for their idle slots."""
-        if not self.asks or job.req.key is not None or job.req.id not in self.jobs:
+        if not self.asks or job.request.key is not None or job.request.id not in self.jobs:
             return
         todo = min(LOOK_AT, int(self.looks))
         some = self.rng.sample(self.others, min(len(self.others), 4 * LOOK_AT)) if todo else []
@@ -227,19 +227,19 @@
             self._drain()
 
     def _ledger(self, job: Job) -> TokenAccount:
-        return self.ledgers.get(job.req.tenant or "", self.ledgers[None])
+        return self.ledgers.get(job.request.tenant or "", self.ledgers[None])
 
     def _hold(self, job: Job) -> None:
         if not self.looking:
             self.looking = True
             self.alarms.add(self.now + HOLD_MS, self._look_again)
-        self.waiting, job.held = self.waiting + 1, True
+        self.waiting, job.is_queued = self.waiting + 1, True
         # In turn, an overloaded queue serves all of them just too late: what has waited its aim gives way.
-        spoils = job.born + job.cls.aim
-        if job.spoilt or spoils <= self.now:
+        spoils = job.arrived_ms + job.service_class.aim
+        if job.is_late or spoils <= self.now:
             self._spoil(job)
         else:
-            (self.over if job.over else self._ledger(job).held[job.index]).append(job)
+            (self.over if job.is_over_quota else self._ledger(job).held[job.class_index]).append(job)
             self.alarms.add(spoils, self._spoil, job)
 
     def _look_again(self) -> None:
@@ -252,10 +252,14 @@
 
     def _spoil(self, job: Job) -> None:
         """A held job that can hardly be in time is refused, or where late pays waits behind the others."""
-        job.spoilt |= job.held
-        if job.held and (job.cls.late_worth <= 0 or job.over) and self._may_refuse(job):
-            self._finish(job, api.Reject(job.req.id, self._comeback(job)))
-        elif job.held:
+        job.is_late |= job.is_queued
+        if (
+            job.is_queued
+            and (job.service_class.late_worth <= 0 or job.is_over_quota)
+            and self._may_refuse(job)
+        ):
+            self._finish(job, api.Reject(job.request.id, self._comeback(job)))
+        elif job.is_queued:
             self.spoilt.append(job)
 
     def _drain(self) -> None:
@@ -266,12 +270,12 @@
     def _comeback(self, job: Job) -> float:
         """When to come back: once the tenant's share allows one more; within it next tick. 0: no advice."""
         ledger, wait = self._ledger(job), self.set.tick
-        if job.over:
+        if job.is_over_quota:
             wait = max(wait, (1.0 - ledger.credit) * 1000.0 / max(ledger.rate, 0.001))
         return min(wait, self.set.max_retry_after)
 
     def _unhold(self, job: Job) -> None:
-        self.waiting, job.held = self.waiting - job.held, False
+        self.waiting, job.is_queued = self.waiting - job.is_queued, False
 
     def _next(self) -> tuple[Job, WorkerState] | None:
         queues: list[deque[Job]] = []
@@ -279,7 +283,7 @@
         failed: list[tuple[int, float, str | None]] = []
         for ledger in self.ledgers.values():
             for queue in ledger.held:
-                while queue and (not queue[0].held or queue[0].spoilt):
+                while queue and (not queue[0].is_queued or queue[0].is_late):
                     queue.popleft()
             if any(ledger.held):
                 ledger.refill(self.now)
@@ -287,25 +291,26 @@
         for _, ledger in sorted(order, key=lambda each: each[0]):
             queues += sorted(filter(None, ledger.held), key=lambda queue: -self._urgency(queue[0]))
         for queue in (*queues, self.spoilt, self.over):
-            while queue and not queue[0].held:
+            while queue and not queue[0].is_queued:
                 queue.popleft()
             # Where one found no room, none as large does: a full fleet is not searched for each.
             job = queue[0] if queue else None
             if job and not any(
-                job.req.slots >= s and job.req.memory >= m and job.cls.kind == k for s, m, k in failed
+                job.request.slots >= s and job.request.memory >= m and job.service_class.kind == k
+                for s, m, k in failed
             ):
                 view = self._place(job)
                 if view is not None:
                     return job, view
                 if not job.attempts:
-                    failed.append((job.req.slots, job.req.memory, job.cls.kind))
+                    failed.append((job.request.slots, job.request.memory, job.service_class.kind))
         return None
 
     def _urgency(self, job: Job) -> float:
         """Worth of a second of work now: what the class is worth, by the chance that it is still in time."""
-        slack = max(0.0, job.cls.stretch - 1.0) * self.work[job.index] + 1.0
-        chance = math.exp(-max(0.0, self.now - job.born - job.cls.aim) / slack)
-        return job.cls.worth * chance / (self.work[job.index] * job.req.slots + 1.0)
+        slack = max(0.0, job.service_class.stretch - 1.0) * self.work[job.class_index] + 1.0
+        chance = math.exp(-max(0.0, self.now - job.arrived_ms - job.service_class.aim) / slack)
+        return job.service_class.worth * chance / (self.work[job.class_index] * job.request.slots + 1.0)
 
     def keyed(self) -> bool:
         return self.keys >= KEYS_COUNT
@@ -323,13 +328,13 @@
 
     def _usable(self, view: WorkerState, job: Job) -> bool:
         """Whether this job may go to this worker at all."""
-        entry, cls, now = view.entry, job.cls, self.now
+        entry, cls, now = view.entry, job.service_class, self.now
         if entry.state != "healthy" or now < view.ejected_until_ms or cls.kind not in (None, entry.kind):
             return False
         for each in job.attempts:
-            if not each.proof and (
+            if not each.never_ran and (
                 cls.effect == "unsafe"
-                or each.view is view
+                or each.worker is view
                 or (cls.effect == "keyed" and not self._remembers(each, cls, entry))
             ):
                 return False
@@ -337,8 +342,8 @@
 
     def _remembers(self, ran: Attempt, cls: api.ServiceClass, entry: api.Worker) -> bool:
         """Whether a worker still drops this keyed job as a repeat of an attempt that may have run."""
-        first = ran.view.entry
-        return self.now < ran.at + cls.window - self.set.tick and (
+        first = ran.worker.entry
+        return self.now < ran.forwarded_ms + cls.window - self.set.tick and (
             cls.group == "all"
             or first.zone == entry.zone
             and (cls.group == "zone" or first.cell == entry.cell)
@@ -356,8 +361,8 @@
             share /= 2.0  # an earlier life of this node may just have sent all of its part
         budget = COLD_PART * s.fall_multiple * share * view.estimated_slots * s.fall_ms
         spent = sum(work for at, work in view.recent_work if at > self.now - s.fall_ms)
-        spent += self.work[job.index] * job.req.slots
-        return spent <= budget and view.reserved_slots + job.req.slots <= math.ceil(
+        spent += self.work[job.class_index] * job.request.slots
+        return spent <= budget and view.reserved_slots + job.request.slots <= math.ceil(
             view.estimated_slots / self.feeders
         )
 
@@ -365,29 +370,32 @@
         return view.entry.started > 0 and self.now - view.entry.started < self.set.cold_ms
 
     def _fits(self, view: WorkerState, job: Job, slack: float = 0.0) -> bool:
-        if view.reserved_slots + job.req.slots > min(view.estimated_slots, view.concurrency_limit) or (
+        if view.reserved_slots + job.request.slots > min(view.estimated_slots, view.concurrency_limit) or (
             self.set.counts_memory
             and view.reserved_slots
-            and view.reserved_memory + job.req.memory > view.estimated_slots
+            and view.reserved_memory + job.request.memory > view.estimated_slots
         ):
             return False
-        if view.concurrency_limit <= 1.0 and self.proves and job.cls.effect != "safe":
+        if view.concurrency_limit <= 1.0 and self.proves and job.service_class.effect != "safe":
             return False  # back from a rest, a worker proves itself on a job that may be repeated
-        return self._free(view) + slack >= job.req.slots and self._usable(view, job)
+        return self._free(view) + slack >= job.request.slots and self._usable(view, job)
 
     def _place(self, job: Job) -> WorkerState | None:
         """A worker with room: for keys one that keeps them; else the fastest at home; else a neighbour."""
-        if len(job.attempts) >= self.set.max_attempts or any(each.open for each in job.attempts):
+        if len(job.attempts) >= self.set.max_attempts or any(each.is_open for each in job.attempts):
             return None
         return (self.first and self.first(job)) or self._room(job)
 
     def _room(self, job: Job) -> WorkerState | None:
-        if job.req.key is not None:
+        if job.request.key is not None:
             return self._place_key(job)
         best: WorkerState | None = None
         self.fed = [view for view in self.fed if self._cold(view)]
         # What cannot be called back from a queue goes only where a slot was seen to be idle.
-        own, blind = self.home + self.fed, not self.asks or job.cls.effect != "unsafe" or self.looks < 1.0
+        own, blind = (
+            self.home + self.fed,
+            not self.asks or job.service_class.effect != "unsafe" or self.looks < 1.0,
+        )
         for view in own if len(own) <= SCAN else self.rng.sample(own, SCAN):
             known = (
                 blind
@@ -423,7 +431,7 @@
             )
         # All nodes send a key to the same workers: each may have its part of the slots there, one at least.
         most = max(1.0, 1.25 * GUESS / self.set.nodes)
-        at, seen = bisect(self.ring, (stable_hash(*job.req.key.encode()), 0)), set()
+        at, seen = bisect(self.ring, (stable_hash(*job.request.key.encode()), 0)), set()
         for i in range(min(len(self.ring), SCAN)):
             worker = self.ring[(at + i) % len(self.ring)][1]
             view = self.views[worker]
@@ -442,33 +450,33 @@
         number = len(job.attempts)
         attempt = Attempt(job, view, self.now)
         job.attempts.append(attempt)
-        self.open[job.req.id, number] = attempt
+        self.open_attempts[job.request.id, number] = attempt
         if number == 0:
             self._ledger(job).spent += 1.0
-        view.reserved_slots += job.req.slots
-        view.reserved_memory += job.req.memory
-        view.recent_work.append((self.now, self.work[job.index] * job.req.slots))
-        self.out.append(api.Send(job.req.id, view.entry.id))
+        view.reserved_slots += job.request.slots
+        view.reserved_memory += job.request.memory
+        view.recent_work.append((self.now, self.work[job.class_index] * job.request.slots))
+        self.out.append(api.Send(job.request.id, view.entry.id))
         quick = self.quick.get(view.entry.zone, 10.0)
-        self.alarms.add(self.now + quick + 4.0 * self.work[job.index], self._silent, attempt, number)
+        self.alarms.add(self.now + quick + 4.0 * self.work[job.class_index], self._silent, attempt, number)
         if self.accepts:
             self.alarms.add(self.now + ACCEPT_MS, self._silent, attempt, number)
         if self.set.tells_start:
             self.alarms.add(self.now + 3.0 * quick + 2 * self.set.tick, self._late_start, attempt, number)
 
     def _note(self, note: api.ProgressReport) -> None:
-        attempt = self.open.get((note.request, note.attempt))
+        attempt = self.open_attempts.get((note.request, note.attempt))
         if attempt is not None:
-            attempt.view.last_heard_ms = attempt.noted = self.now
-            attempt.view.reports_progress |= not note.started
+            attempt.worker.last_heard_ms = attempt.last_progress_ms = self.now
+            attempt.worker.reports_progress |= not note.started
             if self.set.progress > 0 and self.set.cancel:
                 self.alarms.add(self.now + MISSED * self.set.progress, self._unheard, attempt, note.attempt)
-        if attempt is not None and note.started and not attempt.started:
-            view = attempt.view
-            attempt.started = self.now
-            view.running_slots += attempt.job.req.slots
+        if attempt is not None and note.started and not attempt.started_ms:
+            view = attempt.worker
+            attempt.started_ms = self.now
+            view.running_slots += attempt.job.request.slots
             view.peak_running_slots = max(view.peak_running_slots, view.running_slots)
-            took, zone = self.now - attempt.at, view.entry.zone
+            took, zone = self.now - attempt.forwarded_ms, view.entry.zone
             quick = self.quick.get(zone, 10.0)
             if took < 3 * quick + 2 * self.set.tick:
                 self.quick[zone] = quick + 0.05 * (took - quick)
@@ -481,14 +489,14 @@
                     view.last_observed_ms = self.now
 
     def _accepted(self, event: api.Accepted) -> None:
-        attempt = self.open.get((event.request, event.attempt))
+        attempt = self.open_attempts.get((event.request, event.attempt))
         if attempt is not None:
-            self.accepts, attempt.view.last_heard_ms = True, self.now
+            self.accepts, attempt.worker.last_heard_ms = True, self.now
 
     def _late_start(self, attempt: Attempt, number: int, again: bool = False) -> None:
         """A job not yet started lies in a queue: the count was wrong. Correct it; move what may repeat."""
-        view = attempt.view
-        if not attempt.open or attempt.started:
+        view = attempt.worker
+        if not attempt.is_open or attempt.started_ms:
             return
         view.foreign_slots, view.last_observed_ms = (
             max(0.0, view.estimated_slots - view.running_slots),
@@ -504,7 +512,7 @@
         if not self._may_move(attempt.job):
             return
         if self._room(attempt.job) is not None:
-            self.out.append(api.Cancel(attempt.job.req.id, number))
+            self.out.append(api.Cancel(attempt.job.request.id, number))
         elif self.asks:  # perhaps soon
             self._look(attempt.job)
             self.alarms.add(self.now + HOLD_MS, self._late_start, attempt, number, True)
@@ -512,31 +520,35 @@
     def _unheard(self, attempt: Attempt, number: int) -> None:
         """A started job of which the worker tells nothing, though it tells of jobs: it was lost there, or its
         end was. Give it up: it would hold its slots here until the client's time is over."""
-        view, patience = attempt.view, MISSED * self.set.progress
-        if not attempt.open or not view.reports_progress or self.now < attempt.noted + patience - 1.0:
+        view, patience = attempt.worker, MISSED * self.set.progress
+        if (
+            not attempt.is_open
+            or not view.reports_progress
+            or self.now < attempt.last_progress_ms + patience - 1.0
+        ):
             return
         if (
-            view.last_heard_ms < attempt.noted + self.set.progress
-            and self.now < attempt.noted + 2 * patience - 1.0
+            view.last_heard_ms < attempt.last_progress_ms + self.set.progress
+            and self.now < attempt.last_progress_ms + 2 * patience - 1.0
         ):
             # Nothing of others either: it may stand still for a moment.
-            self.alarms.add(attempt.noted + 2 * patience, self._unheard, attempt, number)
+            self.alarms.add(attempt.last_progress_ms + 2 * patience, self._unheard, attempt, number)
             return
-        self.out.append(api.Cancel(attempt.job.req.id, number))
+        self.out.append(api.Cancel(attempt.job.request.id, number))
 
     def _silent(self, attempt: Attempt, number: int) -> None:
         """Nothing heard of the worker since it should have taken the job, or ended it: it may hang."""
-        if attempt.open and attempt.view.last_heard_ms <= attempt.at:
-            self._strike(attempt.view, "silent")
+        if attempt.is_open and attempt.worker.last_heard_ms <= attempt.forwarded_ms:
+            self._strike(attempt.worker, "silent")
             if self._may_move(attempt.job):
-                self.out.append(api.Cancel(attempt.job.req.id, number))
+                self.out.append(api.Cancel(attempt.job.request.id, number))
 
     def _may_move(self, job: Job) -> bool:
         """Whether a job may be called back, to be sent elsewhere once that attempt has ended."""
         return (
             self.set.cancel
-            and job.cls.effect != "unsafe"
-            and job.req.id in self.jobs
+            and job.service_class.effect != "unsafe"
+            and job.request.id in self.jobs
             and len(job.attempts) < self.set.max_attempts - 1
         )
 
@@ -553,15 +565,15 @@
             self.out.append(api.Log(f"worker {view.entry.id} set aside: {why}, strike {view.ejection_count}"))
 
     def _ended(self, event: api.Outcome) -> None:
-        attempt = self.open.pop((event.request, event.attempt), None)
+        attempt = self.open_attempts.pop((event.request, event.attempt), None)
         if attempt is None:
             return
-        job, view, result = attempt.job, attempt.view, event.result
+        job, view, result = attempt.job, attempt.worker, event.result
         full = view.reserved_slots + 0.5 >= view.estimated_slots
-        view.reserved_slots -= job.req.slots
-        view.reserved_memory -= job.req.memory
-        view.running_slots -= job.req.slots if attempt.started else 0
-        attempt.open, attempt.proof = False, result in api.NEVER_RAN
+        view.reserved_slots -= job.request.slots
+        view.reserved_memory -= job.request.memory
+        view.running_slots -= job.request.slots if attempt.started_ms else 0
+        attempt.is_open, attempt.never_ran = False, result in api.NEVER_RAN
         self._report(view, event.report)
         if result == "ok":
             view.last_heard_ms = self.now
@@ -575,7 +587,7 @@
             if view.is_owned and full and not view.slots_reported:
                 view.lower_capacity(self.now + MOST_ASIDE_MS)
         elif result in ("error", "unreachable", "timeout") or (  # a reset may be a push-out by priority
-            result == "reset" and not (self.set.preempts and job.cls.effect == "safe")
+            result == "reset" and not (self.set.preempts and job.service_class.effect == "safe")
         ):
             self._strike(view, result)
         live = job if self.jobs.get(event.request) is job else None
@@ -583,16 +595,20 @@
             self._finish(live, None)
         elif live is not None and result == "rejected":
             # The fault is the request's: no other worker would take it, and none is to be set aside for it.
-            self._finish(live, api.Fail(live.req.id))
-        elif live is not None and not live.held and not any(each.open for each in live.attempts):
+            self._finish(live, api.Fail(live.request.id))
+        elif live is not None and not live.is_queued and not any(each.is_open for each in live.attempts):
             self._again(live)
         self._drain()
 
     def _served(self, view: WorkerState, job: Job, attempt: Attempt, full: bool, elapsed: float) -> None:
-        took = self.now - attempt.started if attempt.started else elapsed or self.now - attempt.at
-        mean = self.work[job.index]
+        took = (
+            self.now - attempt.started_ms
+            if attempt.started_ms
+            else elapsed or self.now - attempt.forwarded_ms
+        )
+        mean = self.work[job.class_index]
         view.relative_service_time += 0.1 * (min(took / mean, 4.0) - view.relative_service_time)
-        self.work[job.index] = mean + 0.02 * (min(took, 3.0 * mean) - mean)
+        self.work[job.class_index] = mean + 0.02 * (min(took, 3.0 * mean) - mean)
         if self.now > view.ejected_until_ms + MOST_ASIDE_MS:
             view.ejection_count = 0
         view.ejected_until_ms = min(view.ejected_until_ms, self.now)
@@ -610,11 +626,11 @@
 
     def _again(self, job: Job) -> None:
         """No attempt is out and the client has no answer: try again where that is allowed, or end it."""
-        ran = [each for each in job.attempts if not each.proof]
+        ran = [each for each in job.attempts if not each.never_ran]
         if (
-            self.now >= job.req.deadline
+            self.now >= job.request.deadline
             or len(job.attempts) >= self.set.max_attempts
-            or (ran and job.cls.effect == "unsafe")
+            or (ran and job.service_class.effect == "unsafe")
         ):
             self._end(job)
         else:
@@ -622,22 +638,28 @@
 
     def _end(self, job: Job) -> None:
         """The answer owed when nothing more can be tried, or time is up."""
-        if self.jobs.get(job.req.id) is job:  # and no later one whose client came again under its id
-            self._finish(job, api.Reject(job.req.id) if self._may_refuse(job) else api.Fail(job.req.id))
+        if self.jobs.get(job.request.id) is job:  # and no later one whose client came again under its id
+            self._finish(
+                job, api.Reject(job.request.id) if self._may_refuse(job) else api.Fail(job.request.id)
+            )
 
     def _may_refuse(self, job: Job) -> bool:
-        ran = any(not each.proof for each in job.attempts)
-        return not ran or job.cls.effect == "safe" or (job.cls.effect == "keyed" and job.cls.group == "all")
+        ran = any(not each.never_ran for each in job.attempts)
+        return (
+            not ran
+            or job.service_class.effect == "safe"
+            or (job.service_class.effect == "keyed" and job.service_class.group == "all")
+        )
 
     def _finish(self, job: Job, answer: api.Action | None) -> None:
         """The request is over; what is still out for it is called off."""
         self._unhold(job)
-        self.jobs.pop(job.req.id, None)
+        self.jobs.pop(job.request.id, None)
         self.out += [answer] if answer is not None else []
         self.out += [
-            api.Cancel(job.req.id, number)
+            api.Cancel(job.request.id, number)
             for number, each in enumerate(job.attempts)
-            if each.open and self.set.cancel
+            if each.is_open and self.set.cancel
         ]
 
     def _left(self, event: api.ClientGone | api.StreamStarted) -> None:
--- a/spanwing/scheduler_state.py
+++ b/spanwing/scheduler_state.py
@@ -20,14 +20,14 @@
 class Job:
     """A request that still owes its answer."""
 
-    req: Request
-    cls: ServiceClass
-    index: int  # of its class
-    born: float
+    request: Request
+    service_class: ServiceClass
+    class_index: int  # of its class
+    arrived_ms: float
     attempts: list[Attempt] = field(default_factory=list)
-    held: bool = False
-    spoilt: bool = False  # it can hardly be in time any more
-    over: bool = False  # it came beyond its tenant's share
+    is_queued: bool = False
+    is_late: bool = False  # it can hardly be in time any more
+    is_over_quota: bool = False  # it came beyond its tenant's share
 
 
 @dataclass(slots=True, eq=False)
@@ -35,12 +35,12 @@
     """One send of a job; it holds its slots at the worker until its outcome."""
 
     job: Job
-    view: WorkerState
-    at: float
-    open: bool = True
-    started: float = 0.0  # when the worker said so; 0: not yet
-    noted: float = 0.0  # the worker's last word on it
-    proof: bool = False  # it ended, and never ran
+    worker: WorkerState
+    forwarded_ms: float
+    is_open: bool = True
+    started_ms: float = 0.0  # when the worker said so; 0: not yet
+    last_progress_ms: float = 0.0  # the worker's last word on it
+    never_ran: bool = False  # it ended, and never ran
 
 
 @dataclass(slots=True, eq=False)
--- a/spanwing/simulation/scheduler.py
+++ b/spanwing/simulation/scheduler.py
@@ -240,7 +240,9 @@
         """Cancels an attempt if it is open, its request is unanswered and its class is `safe`."""
         if request_id in self.pending_requests and (request_id, attempt_number) in self.open_attempts:
             service_class = (
-                self.decision_module.jobs[request_id].cls if request_id in self.decision_module.jobs else None
+                self.decision_module.jobs[request_id].service_class
+                if request_id in self.decision_module.jobs
+                else None
             )
             if service_class is not None and service_class.effect == "safe":
                 self._cancel_attempt(request_id, attempt_number, "cancelled")
--- a/spanwing/zones/trial_requests.py
+++ b/spanwing/zones/trial_requests.py
@@ -25,7 +25,7 @@
         if self.scheduler.now >= self.ends_at_ms or not self.untried_workers:
             self.scheduler.first = None
             return None
-        if job.attempts or job.cls.effect != "safe" or self.scheduler.set.max_attempts < 2:
+        if job.attempts or job.service_class.effect != "safe" or self.scheduler.set.max_attempts < 2:
             return None
         for worker in sorted(self.untried_workers):
             view = self.scheduler.views.get(worker)
--- a/spanwing/zones/unreachable_work.py
+++ b/spanwing/zones/unreachable_work.py
@@ -20,12 +20,14 @@
 def _fail_unreachable_work(module: Scheduler, event: ZoneUnreachable) -> None:
     if not module.waiting:
         return
-    for job in [each for each in module.jobs.values() if each.held and each.cls.effect == "keyed"]:
-        attempts_maybe_run = [each for each in job.attempts if not each.proof]
+    for job in [
+        each for each in module.jobs.values() if each.is_queued and each.service_class.effect == "keyed"
+    ]:
+        attempts_maybe_run = [each for each in job.attempts if not each.never_ran]
         if (
             attempts_maybe_run
-            and job.cls.group != "all"
-            and all(each.view.entry.zone == event.zone for each in attempts_maybe_run)
+            and job.service_class.group != "all"
+            and all(each.worker.entry.zone == event.zone for each in attempts_maybe_run)
         ):
             module._end(job)
 
--- a/tests/golden_messages.py
+++ b/tests/golden_messages.py
@@ -423,12 +423,12 @@
     job.attempts.append(
         Attempt(
             job=job,
-            view=_view(),
-            at=1.5,
-            open=False,
-            started=2.5,
-            noted=3.5,
-            proof=True,
+            worker=_view(),
+            forwarded_ms=1.5,
+            is_open=False,
+            started_ms=2.5,
+            last_progress_ms=3.5,
+            never_ran=True,
         )
     )
     return job
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -336,7 +336,12 @@
     node.run(30000.0)
     node.feed(WorkerList("complete", (Worker(1),)))
     inner = node.node
-    assert (len(inner.jobs), len(inner.open), len(inner.alarms.heap), len(inner.views)) == (0, 0, 0, 1)
+    assert (len(inner.jobs), len(inner.open_attempts), len(inner.alarms.heap), len(inner.views)) == (
+        0,
+        0,
+        0,
+        1,
+    )
 
 
 def test_keys_go_to_the_same_worker_at_every_node():
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -282,10 +282,12 @@
         told = export_attempts(job)
         release_request(old.node, rid)
         self.assertEqual(
-            (old.node.views[worker].reserved_slots, old.node.jobs, old.node.open),
+            (old.node.views[worker].reserved_slots, old.node.jobs, old.node.open_attempts),
             (0, {}, {}),
         )
-        actions = new.feed(RequestResumed(api.Request(rid, "bill", 5000.0), job.born, False, False, told))
+        actions = new.feed(
+            RequestResumed(api.Request(rid, "bill", 5000.0), job.arrived_ms, False, False, told)
+        )
         self.assertEqual(actions, [])  # an attempt is out: nothing is sent
         self.assertEqual(new.node.views[worker].reserved_slots, 1)
         # Its end is the old one's no more, and answers at the new one: what must not run twice goes no more.
@@ -304,7 +306,9 @@
         told = export_attempts(job)
         release_request(old.node, rid)
         self.assertEqual(old.node.waiting, 0)
-        actions = new.feed(RequestResumed(api.Request(rid, "look", 5000.0), job.born, False, False, told))
+        actions = new.feed(
+            RequestResumed(api.Request(rid, "look", 5000.0), job.arrived_ms, False, False, told)
+        )
         self.assertEqual(actions, [api.Send(rid, 1)])
 
 
