--- a/spanwing/hot_restart/state_transfer.py
+++ b/spanwing/hot_restart/state_transfer.py
@@ -98,7 +98,7 @@
         scheduler.keys,
         scheduler.accepts,
         {
-            name: (each.earned, each.spent, each.credit)
+            name: (each.earned, each.spent, each.burst_allowance)
             for name, each in scheduler.ledgers.items()
             if name is not None
         },
@@ -121,7 +121,7 @@
     for name, (earned, spent, credit) in estimates.token_accounts.items():
         account: TokenAccount | None = scheduler.ledgers.get(name)
         if account is not None:
-            account.earned, account.spent, account.credit, account.at = (
+            account.earned, account.spent, account.burst_allowance, account.refilled_ms = (
                 earned,
                 spent,
                 credit,
@@ -180,7 +180,7 @@
         is_over_quota=event.is_over_quota,
     )
     scheduler.jobs[req.id] = job
-    scheduler.alarms.add(req.deadline, scheduler._end, job)
+    scheduler.alarms.call_at(req.deadline, scheduler._end, job)
     for number, transferred in enumerate(event.attempts):
         worker = scheduler.views.get(transferred.worker_id)
         if worker is None:  # gone from the list; its attempt may still end
@@ -217,20 +217,20 @@
         worker.running_slots += job.request.slots
         worker.peak_running_slots = max(worker.peak_running_slots, worker.running_slots)
     elif settings.tells_start:
-        scheduler.alarms.add(
+        scheduler.alarms.call_at(
             attempt.forwarded_ms + 3.0 * start_delay_ms + 2 * settings.tick,
             scheduler._late_start,
             attempt,
             number,
         )
     if attempt.last_progress_ms and settings.progress > 0 and settings.cancel:
-        scheduler.alarms.add(
+        scheduler.alarms.call_at(
             attempt.last_progress_ms + MISSED * settings.progress,
             scheduler._unheard,
             attempt,
             number,
         )
-    scheduler.alarms.add(
+    scheduler.alarms.call_at(
         attempt.forwarded_ms + start_delay_ms + 4.0 * scheduler.work[job.class_index],
         scheduler._silent,
         attempt,
--- a/spanwing/policy/state_transfer.py
+++ b/spanwing/policy/state_transfer.py
@@ -24,9 +24,11 @@
     import_scheduler(scheduler, export_scheduler(previous, None, ""), now)
     for name, account in scheduler.ledgers.items():
         previous_account = previous.ledgers.get(name)
-        if previous_account is not None and previous_account.rate > 0:
-            account.credit = previous_account.credit * account.rate / previous_account.rate
-            account.earned = previous_account.earned * account.rate / previous_account.rate
+        if previous_account is not None and previous_account.quota_per_s > 0:
+            account.burst_allowance = (
+                previous_account.burst_allowance * account.quota_per_s / previous_account.quota_per_s
+            )
+            account.earned = previous_account.earned * account.quota_per_s / previous_account.quota_per_s
     return scheduler
 
 
--- a/spanwing/scheduler.py
+++ b/spanwing/scheduler.py
@@ -87,20 +87,20 @@
         self.proves = any(each.effect == "safe" for each in settings.classes)
         self.alarms = TimerQueue(settings.tick)
         if settings.subscribe:
-            self.alarms.add(now + self.rng.uniform(0, 1000.0), lambda: self.out.append(api.Watch()))
+            self.alarms.call_at(now + self.rng.uniform(0, 1000.0), lambda: self.out.append(api.Watch()))
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         """Take one event; return what to do, in order."""
         self.now, self.out = now, []
         HANDLERS.get(type(event), lambda *_: None)(self, event)
-        self.alarms.run(now)
-        return self.out + self.alarms.timers(now)
+        self.alarms.run_due(now)
+        return self.out + self.alarms.next_timer(now)
 
     def _listed(self, event: api.WorkerList) -> None:
         if event.scope == "error":
             # Discovery is one small service: nodes whose calls broke together come back at random moments.
             when = self.now + self.rng.uniform(500.0, 4000.0)
-            self.alarms.add(when, lambda: self.out.append(api.Watch()))
+            self.alarms.call_at(when, lambda: self.out.append(api.Watch()))
             return
         changed, named = False, {entry.id for entry in event.workers}
         for view in self.views.values() if event.scope != "partial" else ():
@@ -187,8 +187,8 @@
         ledger.refill(self.now)
         self.keys += KEYS_FADE * ((req.key is not None) - self.keys)
         self.looks = min(self.looks + LOOKS, 10.0)
-        job.is_over_quota = self.set.over_share_worth < 1.0 and not ledger.within_share()
-        self.alarms.add(req.deadline, self._end, job)
+        job.is_over_quota = self.set.over_share_worth < 1.0 and not ledger.count_arrival()
+        self.alarms.call_at(req.deadline, self._end, job)
         view = self._place(job) if ledger.earned - ledger.spent > 0 else None
         if view is not None:
             self._send(job, view)
@@ -232,23 +232,23 @@
     def _hold(self, job: Job) -> None:
         if not self.looking:
             self.looking = True
-            self.alarms.add(self.now + HOLD_MS, self._look_again)
+            self.alarms.call_at(self.now + HOLD_MS, self._look_again)
         self.waiting, job.is_queued = self.waiting + 1, True
         # In turn, an overloaded queue serves all of them just too late: what has waited its aim gives way.
         spoils = job.arrived_ms + job.service_class.aim
         if job.is_late or spoils <= self.now:
             self._spoil(job)
         else:
-            (self.over if job.is_over_quota else self._ledger(job).held[job.class_index]).append(job)
-            self.alarms.add(spoils, self._spoil, job)
+            (self.over if job.is_over_quota else self._ledger(job).queues[job.class_index]).append(job)
+            self.alarms.call_at(spoils, self._spoil, job)
 
     def _look_again(self) -> None:
         self._drain()
-        for queue in [queue for ledger in self.ledgers.values() for queue in ledger.held if queue]:
+        for queue in [queue for ledger in self.ledgers.values() for queue in ledger.queues if queue]:
             self._look(queue[0])
         self.looking = self.waiting > 0
         if self.looking:
-            self.alarms.add(self.now + HOLD_MS, self._look_again)
+            self.alarms.call_at(self.now + HOLD_MS, self._look_again)
 
     def _spoil(self, job: Job) -> None:
         """A held job that can hardly be in time is refused, or where late pays waits behind the others."""
@@ -271,7 +271,7 @@
         """When to come back: once the tenant's share allows one more; within it next tick. 0: no advice."""
         ledger, wait = self._ledger(job), self.set.tick
         if job.is_over_quota:
-            wait = max(wait, (1.0 - ledger.credit) * 1000.0 / max(ledger.rate, 0.001))
+            wait = max(wait, (1.0 - ledger.burst_allowance) * 1000.0 / max(ledger.quota_per_s, 0.001))
         return min(wait, self.set.max_retry_after)
 
     def _unhold(self, job: Job) -> None:
@@ -282,14 +282,14 @@
         order: list[tuple[float, TokenAccount]] = []
         failed: list[tuple[int, float, str | None]] = []
         for ledger in self.ledgers.values():
-            for queue in ledger.held:
+            for queue in ledger.queues:
                 while queue and (not queue[0].is_queued or queue[0].is_late):
                     queue.popleft()
-            if any(ledger.held):
+            if any(ledger.queues):
                 ledger.refill(self.now)
-                order.append((ledger.ratio(), ledger))
+                order.append((ledger.spent_ratio(), ledger))
         for _, ledger in sorted(order, key=lambda each: each[0]):
-            queues += sorted(filter(None, ledger.held), key=lambda queue: -self._urgency(queue[0]))
+            queues += sorted(filter(None, ledger.queues), key=lambda queue: -self._urgency(queue[0]))
         for queue in (*queues, self.spoilt, self.over):
             while queue and not queue[0].is_queued:
                 queue.popleft()
@@ -458,11 +458,13 @@
         view.recent_work.append((self.now, self.work[job.class_index] * job.request.slots))
         self.out.append(api.Send(job.request.id, view.entry.id))
         quick = self.quick.get(view.entry.zone, 10.0)
-        self.alarms.add(self.now + quick + 4.0 * self.work[job.class_index], self._silent, attempt, number)
+        self.alarms.call_at(
+            self.now + quick + 4.0 * self.work[job.class_index], self._silent, attempt, number
+        )
         if self.accepts:
-            self.alarms.add(self.now + ACCEPT_MS, self._silent, attempt, number)
+            self.alarms.call_at(self.now + ACCEPT_MS, self._silent, attempt, number)
         if self.set.tells_start:
-            self.alarms.add(self.now + 3.0 * quick + 2 * self.set.tick, self._late_start, attempt, number)
+            self.alarms.call_at(self.now + 3.0 * quick + 2 * self.set.tick, self._late_start, attempt, number)
 
     def _note(self, note: api.ProgressReport) -> None:
         attempt = self.open_attempts.get((note.request, note.attempt))
@@ -470,7 +472,9 @@
             attempt.worker.last_heard_ms = attempt.last_progress_ms = self.now
             attempt.worker.reports_progress |= not note.started
             if self.set.progress > 0 and self.set.cancel:
-                self.alarms.add(self.now + MISSED * self.set.progress, self._unheard, attempt, note.attempt)
+                self.alarms.call_at(
+                    self.now + MISSED * self.set.progress, self._unheard, attempt, note.attempt
+                )
         if attempt is not None and note.started and not attempt.started_ms:
             view = attempt.worker
             attempt.started_ms = self.now
@@ -515,7 +519,7 @@
             self.out.append(api.Cancel(attempt.job.request.id, number))
         elif self.asks:  # perhaps soon
             self._look(attempt.job)
-            self.alarms.add(self.now + HOLD_MS, self._late_start, attempt, number, True)
+            self.alarms.call_at(self.now + HOLD_MS, self._late_start, attempt, number, True)
 
     def _unheard(self, attempt: Attempt, number: int) -> None:
         """A started job of which the worker tells nothing, though it tells of jobs: it was lost there, or its
@@ -532,7 +536,7 @@
             and self.now < attempt.last_progress_ms + 2 * patience - 1.0
         ):
             # Nothing of others either: it may stand still for a moment.
-            self.alarms.add(attempt.last_progress_ms + 2 * patience, self._unheard, attempt, number)
+            self.alarms.call_at(attempt.last_progress_ms + 2 * patience, self._unheard, attempt, number)
             return
         self.out.append(api.Cancel(attempt.job.request.id, number))
 
--- a/spanwing/scheduler_state.py
+++ b/spanwing/scheduler_state.py
@@ -108,22 +108,22 @@
     """A tenant's counters: tokens earned by elapsed time x rate, tokens spent by dispatches."""
 
     def __init__(self, rate: float, now: float, classes: int) -> None:
-        self.rate, self.earned, self.spent, self.at = rate, 0.0, 0.0, now
-        self.credit = rate  # of its share, unused by arrivals; at most BURST_S seconds' worth
-        self.held: list[deque[Job]] = [deque() for _ in range(classes)]
+        self.quota_per_s, self.earned, self.spent, self.refilled_ms = rate, 0.0, 0.0, now
+        self.burst_allowance = rate  # of its share, unused by arrivals; at most BURST_S seconds' worth
+        self.queues: list[deque[Job]] = [deque() for _ in range(classes)]
 
     def refill(self, now: float) -> None:
-        gain = (now - self.at) * self.rate / 1000.0
-        self.earned, self.at = self.earned + gain, now
-        self.credit = min(self.credit + gain, max(1.0, self.rate * BURST_S))
+        gain = (now - self.refilled_ms) * self.quota_per_s / 1000.0
+        self.earned, self.refilled_ms = self.earned + gain, now
+        self.burst_allowance = min(self.burst_allowance + gain, max(1.0, self.quota_per_s * BURST_S))
 
-    def within_share(self) -> bool:
+    def count_arrival(self) -> bool:
         """Count an arrival; whether it is within the tenant's share."""
-        within = self.credit >= 1.0
-        self.credit -= within
+        within = self.burst_allowance >= 1.0
+        self.burst_allowance -= within
         return within
 
-    def ratio(self) -> float:
+    def spent_ratio(self) -> float:
         return self.spent / max(self.earned, 1.0)
 
 
@@ -131,26 +131,26 @@
     """Calls due later, on the timers of the node that runs it."""
 
     def __init__(self, tick: float) -> None:
-        self.tick, self.heap, self.count, self.set_for = tick, [], 0, math.inf
+        self.tick_ms, self.heap, self.call_count, self.timer_due_ms = tick, [], 0, math.inf
 
-    def add(self, when: float, act: Callable[..., None], *args: object) -> None:
-        self.count += 1
-        heapq.heappush(self.heap, (when, self.count, act, args))
+    def call_at(self, when: float, act: Callable[..., None], *args: object) -> None:
+        self.call_count += 1
+        heapq.heappush(self.heap, (when, self.call_count, act, args))
 
-    def run(self, now: float) -> None:
+    def run_due(self, now: float) -> None:
         """Make the calls that are due."""
-        if now >= self.set_for - 0.01:  # the timer has come; older ones must not start a second chain
-            self.set_for = math.inf
+        if now >= self.timer_due_ms - 0.01:  # the timer has come; older ones must not start a second chain
+            self.timer_due_ms = math.inf
         while self.heap and self.heap[0][0] <= now:
             _, _, act, args = heapq.heappop(self.heap)
             act(*args)
 
-    def timers(self, now: float) -> list[SetTimer]:
+    def next_timer(self, now: float) -> list[SetTimer]:
         """The timer still to be set for what comes next, if any."""
-        if not self.heap or self.heap[0][0] >= self.set_for - self.tick:
+        if not self.heap or self.heap[0][0] >= self.timer_due_ms - self.tick_ms:
             return []
-        self.set_for = max(self.heap[0][0], now)
-        return [SetTimer(self.set_for - now, 0)]
+        self.timer_due_ms = max(self.heap[0][0], now)
+        return [SetTimer(self.timer_due_ms - now, 0)]
 
 
 def stable_hash(*values: int) -> int:
--- a/tests/golden_messages.py
+++ b/tests/golden_messages.py
@@ -413,7 +413,7 @@
         True,
     )
     ledger = module.ledgers["corrib"]
-    ledger.earned, ledger.spent, ledger.credit = 1.5, 2.5, 3.5
+    ledger.earned, ledger.spent, ledger.burst_allowance = 1.5, 2.5, 3.5
     return module
 
 
