--- a/spanwing/core/request_manager.py
+++ b/spanwing/core/request_manager.py
@@ -123,7 +123,7 @@
         """
         counts: dict[tuple[str, str], tuple[int, int]] = {}
         now_ms = self.clock.now_ms()
-        for worker in self.scheduler.views.values():
+        for worker in self.scheduler.worker_states.values():
             endpoint = worker.entry
             if endpoint.state != "gone":
                 listed, available = counts.get((endpoint.zone, endpoint.kind), (0, 0))
@@ -134,14 +134,14 @@
     def pool_counts(self) -> tuple[int, int]:
         """Returns how many workers are listed, and how many of them are ejected now."""
         now_ms = self.clock.now_ms()
-        workers = [view for view in self.scheduler.views.values() if view.entry.state != "gone"]
+        workers = [view for view in self.scheduler.worker_states.values() if view.entry.state != "gone"]
         return len(workers), sum(view.ejected_until_ms > now_ms for view in workers)
 
     def queued_by_class(self) -> dict[str, tuple[int, float]]:
         """Returns by class the number of queued requests and the age of the oldest in ms; classes without
         queued requests are left out.
         """
-        if not self.scheduler.waiting:
+        if not self.scheduler.queued_count:
             return {}
         now_ms, queued = self.clock.now_ms(), {}
         for job in self.scheduler.jobs.values():
@@ -221,7 +221,7 @@
         class_effects = [
             (each.name, each.effect)
             for module in (*self.retiring_schedulers, self.scheduler)
-            for each in module.set.classes
+            for each in module.settings.classes
         ]
         self.unsafe_classes = {name for name, effect in class_effects if effect == "unsafe"}
         self.safe_classes = {name for name, effect in class_effects if effect == "safe"} - {
@@ -295,7 +295,7 @@
     def _is_open(self, request: str) -> bool:
         return request in self.pending_requests or any(
             (request, number) in self.in_flight
-            for number in range(self._scheduler_of(request).set.max_attempts)
+            for number in range(self._scheduler_of(request).settings.max_attempts)
         )
 
     def open_ids(self) -> set[str]:
@@ -306,7 +306,7 @@
         """Returns a request's attempts in flight, with their numbers."""
         return [
             (number, self.in_flight[request, number])
-            for number in range(self._scheduler_of(request).set.max_attempts)
+            for number in range(self._scheduler_of(request).settings.max_attempts)
             if (request, number) in self.in_flight
         ]
 
@@ -500,7 +500,7 @@
             timer,
             follows_list=action.worker in self.connections_by_source.get(DISCOVERY_SOURCE, ()),
         )
-        if timeout_ms <= 0 or number >= self.acting_scheduler.set.max_attempts or connection is None:
+        if timeout_ms <= 0 or number >= self.acting_scheduler.settings.max_attempts or connection is None:
             self.post(AttemptEnded(*key, "moot"))
             return
         may_send = self.guard.permit(action.request, number, connection.name)
@@ -554,10 +554,10 @@
         """
         pending.may_have_run = True
         scheduler = self._scheduler_of(pending.request.id)
-        for each in scheduler.set.classes:
+        for each in scheduler.settings.classes:
             if each.name == pending.request.cls and each.effect == "keyed":
                 pending.send_until_ms = min(
-                    pending.send_until_ms, forwarded_ms + each.window - scheduler.set.tick
+                    pending.send_until_ms, forwarded_ms + each.window - scheduler.settings.tick
                 )
 
     def follows_list(self, request: str, number: int) -> bool:
--- a/spanwing/hot_restart/hot_restart.py
+++ b/spanwing/hot_restart/hot_restart.py
@@ -133,8 +133,8 @@
         now = core.clock.now_ms()
         import_scheduler(core.scheduler, self.scheduler_estimates, now)
         for each in self.worker_estimates:
-            if each.worker_id in core.scheduler.views:
-                import_worker(core.scheduler.views[each.worker_id], each, now)
+            if each.worker_id in core.scheduler.worker_states:
+                import_worker(core.scheduler.worker_states[each.worker_id], each, now)
         self.members, self.worker_estimates, self.scheduler_estimates = [], [], None
         # The watch continues the predecessor's; the random delay spreads 200 schedulers restarted at once.
         discovery_client.loop.call_later(random.uniform(0.0, WATCH_RESUME_S), discovery_client.watch)
@@ -286,7 +286,7 @@
         self._stop_listening()
         scheduler = core.scheduler
         members = discovery_client.listed_workers()
-        estimates = [export_worker(view) for view in scheduler.views.values()]
+        estimates = [export_worker(view) for view in scheduler.worker_states.values()]
         stop_feeding(scheduler)
         for start in range(0, max(len(members), len(estimates)), ITEMS_PER_MESSAGE):
             link.send(
--- a/spanwing/hot_restart/state_transfer.py
+++ b/spanwing/hot_restart/state_transfer.py
@@ -68,8 +68,8 @@
 
 def stop_feeding(scheduler: Scheduler) -> None:
     """Stops feeding workers that are warming up; the successor feeds them: one budget, one feeder."""
-    scheduler.feeding, scheduler.fed = False, []
-    for view in scheduler.views.values():
+    scheduler.is_feeding_enabled, scheduler.fed_workers = False, []
+    for view in scheduler.worker_states.values():
         view.feeder_share = 0.0
 
 
@@ -78,28 +78,28 @@
 
     What it forwarded is not known, so feeding begins with halved parts, as after a restart.
     """
-    scheduler.feeding, scheduler.born = True, scheduler.now
-    for view in scheduler.views.values():
-        view.feeder_share = scheduler.feeds(view.entry.id)
-    scheduler.divide()
+    scheduler.is_feeding_enabled, scheduler.started_ms = True, scheduler.now
+    for view in scheduler.worker_states.values():
+        view.feeder_share = scheduler.is_feeder(view.entry.id)
+    scheduler.assign_workers()
 
 
 def export_scheduler(scheduler: Scheduler, revision: int | None, discovery: str) -> SchedulerEstimates:
     """Returns the scheduler's estimates that concern no single worker, and the list's revision."""
-    class_names = [each.name for each in scheduler.set.classes]
+    class_names = [each.name for each in scheduler.settings.classes]
     return SchedulerEstimates(
         revision,
         discovery,
-        scheduler.born,
-        dict(zip(class_names, scheduler.work, strict=True)),
-        dict(scheduler.quick),
-        dict(scheduler.kinds),
-        scheduler.busy,
-        scheduler.keys,
-        scheduler.accepts,
+        scheduler.started_ms,
+        dict(zip(class_names, scheduler.mean_service_ms, strict=True)),
+        dict(scheduler.start_delay_by_zone),
+        dict(scheduler.slots_by_kind),
+        scheduler.fleet_utilization,
+        scheduler.sticky_share,
+        scheduler.acceptance_reported,
         {
             name: (each.earned, each.spent, each.burst_allowance)
-            for name, each in scheduler.ledgers.items()
+            for name, each in scheduler.token_accounts.items()
             if name is not None
         },
     )
@@ -107,19 +107,19 @@
 
 def import_scheduler(scheduler: Scheduler, estimates: SchedulerEstimates, now: float) -> None:
     """Sets the scheduler's estimates; classes and tenants that are unknown here are left out."""
-    scheduler.born, scheduler.busy, scheduler.keys = (
+    scheduler.started_ms, scheduler.fleet_utilization, scheduler.sticky_share = (
         estimates.started_ms,
         estimates.fleet_utilization,
         estimates.sticky_share,
     )
-    scheduler.accepts |= estimates.acceptance_reported
-    scheduler.kinds.update(estimates.slots_by_kind)
-    scheduler.quick.update(estimates.start_delay_by_zone)
+    scheduler.acceptance_reported |= estimates.acceptance_reported
+    scheduler.slots_by_kind.update(estimates.slots_by_kind)
+    scheduler.start_delay_by_zone.update(estimates.start_delay_by_zone)
     for name, service_ms in estimates.mean_service_ms.items():
-        if name in scheduler.index:
-            scheduler.work[scheduler.index[name]] = service_ms
+        if name in scheduler.class_indexes:
+            scheduler.mean_service_ms[scheduler.class_indexes[name]] = service_ms
     for name, (earned, spent, credit) in estimates.token_accounts.items():
-        account: TokenAccount | None = scheduler.ledgers.get(name)
+        account: TokenAccount | None = scheduler.token_accounts.get(name)
         if account is not None:
             account.earned, account.spent, account.burst_allowance, account.refilled_ms = (
                 earned,
@@ -170,21 +170,21 @@
 def _resume_request(scheduler: Scheduler, event: RequestResumed) -> None:
     """Adds a request as if it had begun here: the same counts, the same alarms from the same moments."""
     req = event.request
-    index = scheduler.index.get(req.cls, 0)
+    index = scheduler.class_indexes.get(req.cls, 0)
     job = Job(
         req,
-        scheduler.set.classes[index],
+        scheduler.settings.classes[index],
         index,
         event.arrived_ms,
         is_late=event.is_late,
         is_over_quota=event.is_over_quota,
     )
     scheduler.jobs[req.id] = job
-    scheduler.alarms.call_at(req.deadline, scheduler._end, job)
+    scheduler.timers.call_at(req.deadline, scheduler._end, job)
     for number, transferred in enumerate(event.attempts):
-        worker = scheduler.views.get(transferred.worker_id)
+        worker = scheduler.worker_states.get(transferred.worker_id)
         if worker is None:  # gone from the list; its attempt may still end
-            worker = scheduler.views[transferred.worker_id] = WorkerState(
+            worker = scheduler.worker_states[transferred.worker_id] = WorkerState(
                 api.Worker(transferred.worker_id, "gone"), False, GUESS
             )
         attempt = Attempt(
@@ -206,32 +206,32 @@
 
 
 def _reserve_slots(scheduler: Scheduler, attempt: Attempt, number: int) -> None:
-    job, worker, settings = attempt.job, attempt.worker, scheduler.set
+    job, worker, settings = attempt.job, attempt.worker, scheduler.settings
     worker.foreign_slots = max(
         0.0, worker.foreign_slots - job.request.slots
     )  # counted as load of others until now
     worker.reserved_slots += job.request.slots
     worker.reserved_memory += job.request.memory
-    start_delay_ms = scheduler.quick.get(worker.entry.zone, 10.0)
+    start_delay_ms = scheduler.start_delay_by_zone.get(worker.entry.zone, 10.0)
     if attempt.started_ms:
         worker.running_slots += job.request.slots
         worker.peak_running_slots = max(worker.peak_running_slots, worker.running_slots)
     elif settings.tells_start:
-        scheduler.alarms.call_at(
+        scheduler.timers.call_at(
             attempt.forwarded_ms + 3.0 * start_delay_ms + 2 * settings.tick,
             scheduler._late_start,
             attempt,
             number,
         )
     if attempt.last_progress_ms and settings.progress > 0 and settings.cancel:
-        scheduler.alarms.call_at(
+        scheduler.timers.call_at(
             attempt.last_progress_ms + MISSED * settings.progress,
             scheduler._unheard,
             attempt,
             number,
         )
-    scheduler.alarms.call_at(
-        attempt.forwarded_ms + start_delay_ms + 4.0 * scheduler.work[job.class_index],
+    scheduler.timers.call_at(
+        attempt.forwarded_ms + start_delay_ms + 4.0 * scheduler.mean_service_ms[job.class_index],
         scheduler._silent,
         attempt,
         number,
--- a/spanwing/policy/service.py
+++ b/spanwing/policy/service.py
@@ -160,7 +160,7 @@
         self.resubmitted_requests = [each for each in self.resubmitted_requests if each is not submitted]
         decision = self.participant.decide_admission(clock_ms())
         if decision.action == "take" and decision.version == self.active_version.number:
-            if submitted.request.cls in self.request_manager.scheduler.index:
+            if submitted.request.cls in self.request_manager.scheduler.class_indexes:
                 return True
             self._reject(submitted)  # its class was removed while it waited
             return False
--- a/spanwing/policy/state_transfer.py
+++ b/spanwing/policy/state_transfer.py
@@ -22,8 +22,8 @@
     """Returns a scheduler for the new settings, which knows no worker list yet (see known_workers)."""
     scheduler = Scheduler(settings, seed, now)
     import_scheduler(scheduler, export_scheduler(previous, None, ""), now)
-    for name, account in scheduler.ledgers.items():
-        previous_account = previous.ledgers.get(name)
+    for name, account in scheduler.token_accounts.items():
+        previous_account = previous.token_accounts.get(name)
         if previous_account is not None and previous_account.quota_per_s > 0:
             account.burst_allowance = (
                 previous_account.burst_allowance * account.quota_per_s / previous_account.quota_per_s
@@ -34,7 +34,7 @@
 
 def known_workers(previous: Scheduler) -> api.WorkerList:
     """Returns the former scheduler's worker list, without workers that are gone."""
-    entries = (view.entry for view in previous.views.values() if view.entry.state != "gone")
+    entries = (view.entry for view in previous.worker_states.values() if view.entry.state != "gone")
     return api.WorkerList("persisted", tuple(entries))
 
 
@@ -43,8 +43,8 @@
 
     Called once the new scheduler has the worker list.
     """
-    for worker, worker_state in scheduler.views.items():
-        previous_state = previous.views.get(worker)
+    for worker, worker_state in scheduler.worker_states.items():
+        previous_state = previous.worker_states.get(worker)
         if previous_state is not None:
             import_worker(worker_state, export_worker(previous_state), now)
     stop_feeding(previous)
--- a/spanwing/scheduler.py
+++ b/spanwing/scheduler.py
@@ -42,19 +42,20 @@
     """One node. It shares nothing with other nodes; same events, same actions."""
 
     def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
-        self.set, self.now, self.born, self.rng = settings, now, now, random.Random(seed)
-        self.out: list[api.Action] = []
-        self.index = {each.name: i for i, each in enumerate(settings.classes)}
+        self.settings, self.now, self.started_ms, self.rng = settings, now, now, random.Random(seed)
+        self.actions: list[api.Action] = []
+        self.class_indexes = {each.name: i for i, each in enumerate(settings.classes)}
         tenants = settings.tenants or (api.Tenant("", 1.0),)
-        self.ledgers: dict[str | None, TokenAccount] = {
-            each.name: TokenAccount(each.rate / settings.nodes, now, len(self.index)) for each in tenants
+        self.token_accounts: dict[str | None, TokenAccount] = {
+            each.name: TokenAccount(each.rate / settings.nodes, now, len(self.class_indexes))
+            for each in tenants
         }
-        self.ledgers[None] = TokenAccount(0.0, now, len(self.index))  # whoever is on no list
-        self.home: list[WorkerState] = []  # own part of the fleet
-        self.near: list[WorkerState] = []  # others' in this zone
-        self.far: list[WorkerState] = []  # others' beyond
-        self.others: list[WorkerState] = []  # near and far
-        self.fed: list[WorkerState] = []  # those of them that this node feeds while they are cold
+        self.token_accounts[None] = TokenAccount(0.0, now, len(self.class_indexes))  # whoever is on no list
+        self.owned_workers: list[WorkerState] = []  # own part of the fleet
+        self.same_zone_workers: list[WorkerState] = []  # others' in this zone
+        self.remote_workers: list[WorkerState] = []  # others' beyond
+        self.foreign_workers: list[WorkerState] = []  # near and far
+        self.fed_workers: list[WorkerState] = []  # those of them that this node feeds while they are cold
         # A cold worker is fed by as many nodes as it may have slots, whoever is down, each with a part of the
         # budget that holds a job. They are found by the worker's id alone, so that late lists cannot add any.
         jobs = (
@@ -65,59 +66,69 @@
             * settings.fall_ms
             / (2.0 * sum(each.aim for each in settings.classes) / len(settings.classes))
         )
-        self.feeders = max(1, min(settings.nodes, int(GUESS), int(jobs)))
-        self.views: dict[int, WorkerState] = {}  # workers
-        self.members: dict[WorkerState, str] = {}  # workers with their kinds, as dealt out last
-        self.order: list[WorkerState] = []  # the same, in the order of the deal
-        self.kinds: dict[str, float] = {}  # slots by kind
-        self.ring: list[tuple[int, int]] = []  # hash ring of ids, if needed
+        self.feeder_count = max(1, min(settings.nodes, int(GUESS), int(jobs)))
+        self.worker_states: dict[int, WorkerState] = {}  # workers
+        self.assigned_kinds: dict[WorkerState, str] = {}  # workers with their kinds, as dealt out last
+        self.assignment_order: list[WorkerState] = []  # the same, in the order of the deal
+        self.slots_by_kind: dict[str, float] = {}  # slots by kind
+        self.hash_ring: list[tuple[int, int]] = []  # hash ring of ids, if needed
         self.jobs: dict[str, Job] = {}  # unanswered jobs by id
         self.open_attempts: dict[tuple[str, int], Attempt] = {}  # attempts that are out, by id and number
-        self.spoilt: deque[Job] = deque()  # held behind the rest: too late
-        self.over: deque[Job] = deque()  # held behind the rest: beyond the share
-        self.waiting, self.looking, self.lines = 0, False, 0
-        self.first: Callable[[Job], WorkerState | None] | None = None  # see zones/trial.py
-        self.work = [2.0 * each.aim for each in settings.classes]  # mean time of a served attempt, by class
-        self.quick = {zone: 10.0 if zone == settings.zone else 60.0 for zone in (*settings.zones, "")}
-        self.busy, self.keys = 0.5, 0.0  # shares: of slots in use, as far as seen; of arrivals with a key
-        self.asks = settings.probes and "free_slots" in settings.report_fields
-        self.looks = 1.0  # probes that may be sent
-        self.seen: list[WorkerState] = []  # others' workers that were seen just now
-        self.accepts, self.feeding = False, True  # the host tells of taken jobs; cold workers may be fed here
-        self.proves = any(each.effect == "safe" for each in settings.classes)
-        self.alarms = TimerQueue(settings.tick)
+        self.late_jobs: deque[Job] = deque()  # held behind the rest: too late
+        self.over_quota_jobs: deque[Job] = deque()  # held behind the rest: beyond the share
+        self.queued_count, self.is_queue_poll_set, self.log_line_count = 0, False, 0
+        self.placement_override: Callable[[Job], WorkerState | None] | None = None  # see zones/trial.py
+        self.mean_service_ms = [
+            2.0 * each.aim for each in settings.classes
+        ]  # mean time of a served attempt, by class
+        self.start_delay_by_zone = {
+            zone: 10.0 if zone == settings.zone else 60.0 for zone in (*settings.zones, "")
+        }
+        self.fleet_utilization, self.sticky_share = (
+            0.5,
+            0.0,
+        )  # shares: of slots in use, as far as seen; of arrivals with a key
+        self.can_probe_slots = settings.probes and "free_slots" in settings.report_fields
+        self.probe_budget = 1.0  # probes that may be sent
+        self.recently_probed: list[WorkerState] = []  # others' workers that were seen just now
+        self.acceptance_reported, self.is_feeding_enabled = (
+            False,
+            True,
+        )  # the host tells of taken jobs; cold workers may be fed here
+        self.has_safe_class = any(each.effect == "safe" for each in settings.classes)
+        self.timers = TimerQueue(settings.tick)
         if settings.subscribe:
-            self.alarms.call_at(now + self.rng.uniform(0, 1000.0), lambda: self.out.append(api.Watch()))
+            self.timers.call_at(now + self.rng.uniform(0, 1000.0), lambda: self.actions.append(api.Watch()))
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         """Take one event; return what to do, in order."""
-        self.now, self.out = now, []
+        self.now, self.actions = now, []
         HANDLERS.get(type(event), lambda *_: None)(self, event)
-        self.alarms.run_due(now)
-        return self.out + self.alarms.next_timer(now)
+        self.timers.run_due(now)
+        return self.actions + self.timers.next_timer(now)
 
     def _listed(self, event: api.WorkerList) -> None:
         if event.scope == "error":
             # Discovery is one small service: nodes whose calls broke together come back at random moments.
             when = self.now + self.rng.uniform(500.0, 4000.0)
-            self.alarms.call_at(when, lambda: self.out.append(api.Watch()))
+            self.timers.call_at(when, lambda: self.actions.append(api.Watch()))
             return
         changed, named = False, {entry.id for entry in event.workers}
-        for view in self.views.values() if event.scope != "partial" else ():
+        for view in self.worker_states.values() if event.scope != "partial" else ():
             if view.entry.id not in named:
                 view.entry, changed = view.entry._replace(state="gone"), True
         for entry in event.workers:
-            view = self.views.get(entry.id)
+            view = self.worker_states.get(entry.id)
             if view is None:
-                changed, total = True, self.kinds.get(entry.kind, GUESS)
-                view = self.views[entry.id] = WorkerState(entry, 0.0, total)
-            elif view.entry == entry and entry.feeder is None and not self.set.live_weights:
+                changed, total = True, self.slots_by_kind.get(entry.kind, GUESS)
+                view = self.worker_states[entry.id] = WorkerState(entry, 0.0, total)
+            elif view.entry == entry and entry.feeder is None and not self.settings.live_weights:
                 continue
             changed |= view.entry._replace(weight=entry.weight) != entry
             if entry.feeder is not None:
                 view.feeder_share, view.is_feeder_known = entry.feeder, True
             elif entry.started > 0 and not view.is_feeder_known:  # nobody feeds a warm worker
-                view.feeder_share, view.is_feeder_known = self.feeds(entry.id), True
+                view.feeder_share, view.is_feeder_known = self.is_feeder(entry.id), True
             if entry.started > view.entry.started:  # a new life: what was known of the old one is void
                 view.ejected_until_ms, view.ejection_count, view.concurrency_limit, view.foreign_slots = (
                     0.0,
@@ -126,69 +137,84 @@
                     0.0,
                 )
             view.entry, view.max_weight = entry, max(view.max_weight, entry.weight)
-            if self.set.live_weights and entry.weight > 0:
+            if self.settings.live_weights and entry.weight > 0:
                 self._observe(view, (view.max_weight / entry.weight - 1.0) * view.estimated_slots)
         if changed:
-            self.divide()
+            self.assign_workers()
         self._drain()
 
-    def feeds(self, worker: int) -> bool:
-        own = stable_hash(worker, self.set.node), -self.set.node
-        larger = (node for node in range(self.set.nodes) if (stable_hash(worker, node), -node) > own)
-        return self.feeding and len(list(islice(larger, self.feeders))) < self.feeders
+    def is_feeder(self, worker: int) -> bool:
+        own = stable_hash(worker, self.settings.node), -self.settings.node
+        larger = (node for node in range(self.settings.nodes) if (stable_hash(worker, node), -node) > own)
+        return self.is_feeding_enabled and len(list(islice(larger, self.feeder_count))) < self.feeder_count
 
-    def divide(self) -> None:
+    def assign_workers(self) -> None:
         """Deal the workers out evenly, so that a change moves few: own counts tell what own workers hold."""
-        self.views = {i: v for i, v in self.views.items() if v.entry.state != "gone" or v.reserved_slots}
-        self.home, self.near, self.far = [], [], []
-        members = {view: view.entry.kind for view in self.views.values()}
-        if members != self.members:  # otherwise each stays where it was dealt to
-            self.members, self.order = members, sorted(members, key=WorkerState.assignment_key)
-            count, loads = self.set.nodes, [0] * self.set.nodes
-            for rank, view in enumerate(self.order):
+        self.worker_states = {
+            i: v for i, v in self.worker_states.items() if v.entry.state != "gone" or v.reserved_slots
+        }
+        self.owned_workers, self.same_zone_workers, self.remote_workers = [], [], []
+        members = {view: view.entry.kind for view in self.worker_states.values()}
+        if members != self.assigned_kinds:  # otherwise each stays where it was dealt to
+            self.assigned_kinds, self.assignment_order = (
+                members,
+                sorted(members, key=WorkerState.assignment_key),
+            )
+            count, loads = self.settings.nodes, [0] * self.settings.nodes
+            for rank, view in enumerate(self.assignment_order):
                 turn, most = 0, rank // count + 1
                 while loads[node := view.candidate_node(turn, count)] >= most:
                     turn += 1
                 loads[node] += 1
-                view.is_owned = node == self.set.node
-        for view in self.order:
+                view.is_owned = node == self.settings.node
+        for view in self.assignment_order:
             if view.entry.state == "healthy":
-                near = view.entry.zone == self.set.zone
-                (self.home if view.is_owned else self.near if near else self.far).append(view)
-        self.others = self.near + self.far
-        self.fed = [view for view in self.others if view.feeder_share and view.entry.started > 0]
-        self.ring = []  # of no use to most nodes, and long to make: at the next key
+                near = view.entry.zone == self.settings.zone
+                (
+                    self.owned_workers
+                    if view.is_owned
+                    else self.same_zone_workers
+                    if near
+                    else self.remote_workers
+                ).append(view)
+        self.foreign_workers = self.same_zone_workers + self.remote_workers
+        self.fed_workers = [
+            view for view in self.foreign_workers if view.feeder_share and view.entry.started > 0
+        ]
+        self.hash_ring = []  # of no use to most nodes, and long to make: at the next key
 
     def _observe(self, view: WorkerState, inflight: float) -> None:
         """Take in a sight of how many jobs a worker holds; what is not ours is others'."""
         view.observe_load(inflight, self.now)
-        self.busy += 0.01 * (min(1.0, inflight / max(view.estimated_slots, 1.0)) - self.busy)
+        self.fleet_utilization += 0.01 * (
+            min(1.0, inflight / max(view.estimated_slots, 1.0)) - self.fleet_utilization
+        )
 
     def _report(self, view: WorkerState, report: tuple[float, ...] | None) -> None:
-        got = dict(zip(self.set.report_fields, report or (), strict=False))
+        got = dict(zip(self.settings.report_fields, report or (), strict=False))
         inflight, queue, free = got.get("inflight"), got.get("queue", 0.0), got.get("free_slots")
         kind = view.entry.kind
         if free is not None and inflight is not None:
             view.estimated_slots += (0.3 if view.slots_reported else 1.0) * (
                 inflight - queue + free - view.estimated_slots
             )
-            view.slots_reported, self.kinds[kind] = True, view.estimated_slots
+            view.slots_reported, self.slots_by_kind[kind] = True, view.estimated_slots
         elif free is not None:  # seen idle, a worker shows all its slots, and its kind's
-            self.kinds[kind] = max(self.kinds.get(kind, 1.0), float(round(free)))
-            view.estimated_slots, view.slots_reported = self.kinds[kind], True
+            self.slots_by_kind[kind] = max(self.slots_by_kind.get(kind, 1.0), float(round(free)))
+            view.estimated_slots, view.slots_reported = self.slots_by_kind[kind], True
             inflight = max(0.0, view.estimated_slots - free) + queue
         if inflight is not None:
             self._observe(view, inflight)
 
     def _arrive(self, req: api.Request) -> None:
-        index = self.index.get(req.cls, 0)
-        job = self.jobs[req.id] = Job(req, self.set.classes[index], index, self.now)
+        index = self.class_indexes.get(req.cls, 0)
+        job = self.jobs[req.id] = Job(req, self.settings.classes[index], index, self.now)
         ledger = self._ledger(job)
         ledger.refill(self.now)
-        self.keys += KEYS_FADE * ((req.key is not None) - self.keys)
-        self.looks = min(self.looks + LOOKS, 10.0)
-        job.is_over_quota = self.set.over_share_worth < 1.0 and not ledger.count_arrival()
-        self.alarms.call_at(req.deadline, self._end, job)
+        self.sticky_share += KEYS_FADE * ((req.key is not None) - self.sticky_share)
+        self.probe_budget = min(self.probe_budget + LOOKS, 10.0)
+        job.is_over_quota = self.settings.over_share_worth < 1.0 and not ledger.count_arrival()
+        self.timers.call_at(req.deadline, self._end, job)
         view = self._place(job) if ledger.earned - ledger.spent > 0 else None
         if view is not None:
             self._send(job, view)
@@ -200,21 +226,23 @@
 
     def _look(self, job: Job) -> None:
         """Ask others' workers, and home for what cannot be called back from there, for their idle slots."""
-        if not self.asks or job.request.key is not None or job.request.id not in self.jobs:
+        if not self.can_probe_slots or job.request.key is not None or job.request.id not in self.jobs:
             return
-        todo = min(LOOK_AT, int(self.looks))
-        some = self.rng.sample(self.others, min(len(self.others), 4 * LOOK_AT)) if todo else []
-        for view in [each for each in self.home + self.fed if self._fits(each, job)] + some:
+        todo = min(LOOK_AT, int(self.probe_budget))
+        some = (
+            self.rng.sample(self.foreign_workers, min(len(self.foreign_workers), 4 * LOOK_AT)) if todo else []
+        )
+        for view in [each for each in self.owned_workers + self.fed_workers if self._fits(each, job)] + some:
             if (
                 todo > 0
                 and self.now - max(view.last_observed_ms, view.last_probed_ms) > FRESH_MS
                 and self._usable(view, job)
             ):
-                view.last_probed_ms, todo, self.looks = self.now, todo - 1, self.looks - 1.0
-                self.out.append(api.Probe(view.entry.id))
+                view.last_probed_ms, todo, self.probe_budget = self.now, todo - 1, self.probe_budget - 1.0
+                self.actions.append(api.Probe(view.entry.id))
 
     def _probed(self, event: api.ProbeResult) -> None:
-        view = self.views.get(event.worker)
+        view = self.worker_states.get(event.worker)
         if view is not None and event.result == "ok":
             view.last_heard_ms, view.last_observed_ms = (
                 self.now,
@@ -222,33 +250,37 @@
             )  # what is asked for is no mean with what was seen
             self._report(view, event.report)
             view.last_observed_ms = self.now
-            self.seen = [each for each in self.seen if each.is_fresh(self.now) and each is not view]
-            self.seen += [] if view.is_owned else [view]
+            self.recently_probed = [
+                each for each in self.recently_probed if each.is_fresh(self.now) and each is not view
+            ]
+            self.recently_probed += [] if view.is_owned else [view]
             self._drain()
 
     def _ledger(self, job: Job) -> TokenAccount:
-        return self.ledgers.get(job.request.tenant or "", self.ledgers[None])
+        return self.token_accounts.get(job.request.tenant or "", self.token_accounts[None])
 
     def _hold(self, job: Job) -> None:
-        if not self.looking:
-            self.looking = True
-            self.alarms.call_at(self.now + HOLD_MS, self._look_again)
-        self.waiting, job.is_queued = self.waiting + 1, True
+        if not self.is_queue_poll_set:
+            self.is_queue_poll_set = True
+            self.timers.call_at(self.now + HOLD_MS, self._look_again)
+        self.queued_count, job.is_queued = self.queued_count + 1, True
         # In turn, an overloaded queue serves all of them just too late: what has waited its aim gives way.
         spoils = job.arrived_ms + job.service_class.aim
         if job.is_late or spoils <= self.now:
             self._spoil(job)
         else:
-            (self.over if job.is_over_quota else self._ledger(job).queues[job.class_index]).append(job)
-            self.alarms.call_at(spoils, self._spoil, job)
+            (self.over_quota_jobs if job.is_over_quota else self._ledger(job).queues[job.class_index]).append(
+                job
+            )
+            self.timers.call_at(spoils, self._spoil, job)
 
     def _look_again(self) -> None:
         self._drain()
-        for queue in [queue for ledger in self.ledgers.values() for queue in ledger.queues if queue]:
+        for queue in [queue for ledger in self.token_accounts.values() for queue in ledger.queues if queue]:
             self._look(queue[0])
-        self.looking = self.waiting > 0
-        if self.looking:
-            self.alarms.call_at(self.now + HOLD_MS, self._look_again)
+        self.is_queue_poll_set = self.queued_count > 0
+        if self.is_queue_poll_set:
+            self.timers.call_at(self.now + HOLD_MS, self._look_again)
 
     def _spoil(self, job: Job) -> None:
         """A held job that can hardly be in time is refused, or where late pays waits behind the others."""
@@ -260,28 +292,28 @@
         ):
             self._finish(job, api.Reject(job.request.id, self._comeback(job)))
         elif job.is_queued:
-            self.spoilt.append(job)
+            self.late_jobs.append(job)
 
     def _drain(self) -> None:
         """Held jobs leave while a fitting slot is idle, the tenant of lowest spent-to-earned ratio first."""
-        while self.waiting and (found := self._next()):
+        while self.queued_count and (found := self._next()):
             self._send(*found)
 
     def _comeback(self, job: Job) -> float:
         """When to come back: once the tenant's share allows one more; within it next tick. 0: no advice."""
-        ledger, wait = self._ledger(job), self.set.tick
+        ledger, wait = self._ledger(job), self.settings.tick
         if job.is_over_quota:
             wait = max(wait, (1.0 - ledger.burst_allowance) * 1000.0 / max(ledger.quota_per_s, 0.001))
-        return min(wait, self.set.max_retry_after)
+        return min(wait, self.settings.max_retry_after)
 
     def _unhold(self, job: Job) -> None:
-        self.waiting, job.is_queued = self.waiting - job.is_queued, False
+        self.queued_count, job.is_queued = self.queued_count - job.is_queued, False
 
     def _next(self) -> tuple[Job, WorkerState] | None:
         queues: list[deque[Job]] = []
         order: list[tuple[float, TokenAccount]] = []
         failed: list[tuple[int, float, str | None]] = []
-        for ledger in self.ledgers.values():
+        for ledger in self.token_accounts.values():
             for queue in ledger.queues:
                 while queue and (not queue[0].is_queued or queue[0].is_late):
                     queue.popleft()
@@ -290,7 +322,7 @@
                 order.append((ledger.spent_ratio(), ledger))
         for _, ledger in sorted(order, key=lambda each: each[0]):
             queues += sorted(filter(None, ledger.queues), key=lambda queue: -self._urgency(queue[0]))
-        for queue in (*queues, self.spoilt, self.over):
+        for queue in (*queues, self.late_jobs, self.over_quota_jobs):
             while queue and not queue[0].is_queued:
                 queue.popleft()
             # Where one found no room, none as large does: a full fleet is not searched for each.
@@ -308,17 +340,21 @@
 
     def _urgency(self, job: Job) -> float:
         """Worth of a second of work now: what the class is worth, by the chance that it is still in time."""
-        slack = max(0.0, job.service_class.stretch - 1.0) * self.work[job.class_index] + 1.0
+        slack = max(0.0, job.service_class.stretch - 1.0) * self.mean_service_ms[job.class_index] + 1.0
         chance = math.exp(-max(0.0, self.now - job.arrived_ms - job.service_class.aim) / slack)
-        return job.service_class.worth * chance / (self.work[job.class_index] * job.request.slots + 1.0)
+        return (
+            job.service_class.worth
+            * chance
+            / (self.mean_service_ms[job.class_index] * job.request.slots + 1.0)
+        )
 
     def keyed(self) -> bool:
-        return self.keys >= KEYS_COUNT
+        return self.sticky_share >= KEYS_COUNT
 
     def _free(self, view: WorkerState) -> float:
         """Slots believed idle: the assumed total less what we hold and what others do, as last seen."""
         alone = (view.is_owned and not self.keyed()) or (view.feeder_share and self._cold(view))
-        prior = 0.0 if alone else self.busy * view.estimated_slots
+        prior = 0.0 if alone else self.fleet_utilization * view.estimated_slots
         others = prior + (view.foreign_slots - prior) * math.exp(
             (view.last_observed_ms - self.now) / MEMORY_MS
         )
@@ -343,7 +379,7 @@
     def _remembers(self, ran: Attempt, cls: api.ServiceClass, entry: api.Worker) -> bool:
         """Whether a worker still drops this keyed job as a repeat of an attempt that may have run."""
         first = ran.worker.entry
-        return self.now < ran.forwarded_ms + cls.window - self.set.tick and (
+        return self.now < ran.forwarded_ms + cls.window - self.settings.tick and (
             cls.group == "all"
             or first.zone == entry.zone
             and (cls.group == "zone" or first.cell == entry.cell)
@@ -351,50 +387,52 @@
 
     def _cold_allows(self, view: WorkerState, job: Job) -> bool:
         """Keep a cold worker under its budget: its feeders alone, each with its part, send to it."""
-        s, age = self.set, self.now - view.entry.started
+        s, age = self.settings, self.now - view.entry.started
         if not self._cold(view) or not view.feeder_share:
             return not self._cold(view)
         share = (
-            (s.cold_from + (1.0 - s.cold_from) * max(0.0, age) / s.cold_ms) * view.feeder_share / self.feeders
+            (s.cold_from + (1.0 - s.cold_from) * max(0.0, age) / s.cold_ms)
+            * view.feeder_share
+            / self.feeder_count
         )
-        if view.entry.started < self.born and self.now < self.born + s.fall_ms:
+        if view.entry.started < self.started_ms and self.now < self.started_ms + s.fall_ms:
             share /= 2.0  # an earlier life of this node may just have sent all of its part
         budget = COLD_PART * s.fall_multiple * share * view.estimated_slots * s.fall_ms
         spent = sum(work for at, work in view.recent_work if at > self.now - s.fall_ms)
-        spent += self.work[job.class_index] * job.request.slots
+        spent += self.mean_service_ms[job.class_index] * job.request.slots
         return spent <= budget and view.reserved_slots + job.request.slots <= math.ceil(
-            view.estimated_slots / self.feeders
+            view.estimated_slots / self.feeder_count
         )
 
     def _cold(self, view: WorkerState) -> bool:
-        return view.entry.started > 0 and self.now - view.entry.started < self.set.cold_ms
+        return view.entry.started > 0 and self.now - view.entry.started < self.settings.cold_ms
 
     def _fits(self, view: WorkerState, job: Job, slack: float = 0.0) -> bool:
         if view.reserved_slots + job.request.slots > min(view.estimated_slots, view.concurrency_limit) or (
-            self.set.counts_memory
+            self.settings.counts_memory
             and view.reserved_slots
             and view.reserved_memory + job.request.memory > view.estimated_slots
         ):
             return False
-        if view.concurrency_limit <= 1.0 and self.proves and job.service_class.effect != "safe":
+        if view.concurrency_limit <= 1.0 and self.has_safe_class and job.service_class.effect != "safe":
             return False  # back from a rest, a worker proves itself on a job that may be repeated
         return self._free(view) + slack >= job.request.slots and self._usable(view, job)
 
     def _place(self, job: Job) -> WorkerState | None:
         """A worker with room: for keys one that keeps them; else the fastest at home; else a neighbour."""
-        if len(job.attempts) >= self.set.max_attempts or any(each.is_open for each in job.attempts):
+        if len(job.attempts) >= self.settings.max_attempts or any(each.is_open for each in job.attempts):
             return None
-        return (self.first and self.first(job)) or self._room(job)
+        return (self.placement_override and self.placement_override(job)) or self._room(job)
 
     def _room(self, job: Job) -> WorkerState | None:
         if job.request.key is not None:
             return self._place_key(job)
         best: WorkerState | None = None
-        self.fed = [view for view in self.fed if self._cold(view)]
+        self.fed_workers = [view for view in self.fed_workers if self._cold(view)]
         # What cannot be called back from a queue goes only where a slot was seen to be idle.
         own, blind = (
-            self.home + self.fed,
-            not self.asks or job.service_class.effect != "unsafe" or self.looks < 1.0,
+            self.owned_workers + self.fed_workers,
+            not self.can_probe_slots or job.service_class.effect != "unsafe" or self.probe_budget < 1.0,
         )
         for view in own if len(own) <= SCAN else self.rng.sample(own, SCAN):
             known = (
@@ -408,33 +446,33 @@
                 and self._fits(view, job)
             ):
                 best = view
-        for view in self.seen if best is None else ():
+        for view in self.recently_probed if best is None else ():
             if (
                 (best is None or view.relative_service_time < best.relative_service_time)
                 and view.is_fresh(self.now)
                 and self._fits(view, job)
             ):
                 best = view
-        for group in (self.near, self.far) if not self.asks else ():
+        for group in (self.same_zone_workers, self.remote_workers) if not self.can_probe_slots else ():
             for view in [self.rng.choice(group) for _ in range(4)] if best is None and group else ():
                 if self._fits(view, job) and (best is None or self._free(view) > self._free(best)):
                     best = view
         return best
 
     def _place_key(self, job: Job) -> WorkerState | None:
-        if not self.ring:
-            self.ring = sorted(
+        if not self.hash_ring:
+            self.hash_ring = sorted(
                 (stable_hash(v.entry.id, 7919, i), v.entry.id)
-                for v in self.views.values()
+                for v in self.worker_states.values()
                 if v.entry.state == "healthy"
                 for i in range(math.ceil(16 * min(v.max_weight, 8.0)))
             )
         # All nodes send a key to the same workers: each may have its part of the slots there, one at least.
-        most = max(1.0, 1.25 * GUESS / self.set.nodes)
-        at, seen = bisect(self.ring, (stable_hash(*job.request.key.encode()), 0)), set()
-        for i in range(min(len(self.ring), SCAN)):
-            worker = self.ring[(at + i) % len(self.ring)][1]
-            view = self.views[worker]
+        most = max(1.0, 1.25 * GUESS / self.settings.nodes)
+        at, seen = bisect(self.hash_ring, (stable_hash(*job.request.key.encode()), 0)), set()
+        for i in range(min(len(self.hash_ring), SCAN)):
+            worker = self.hash_ring[(at + i) % len(self.hash_ring)][1]
+            view = self.worker_states[worker]
             # A short queue there costs less than to fetch the key elsewhere.
             if (
                 worker not in seen
@@ -455,25 +493,27 @@
             self._ledger(job).spent += 1.0
         view.reserved_slots += job.request.slots
         view.reserved_memory += job.request.memory
-        view.recent_work.append((self.now, self.work[job.class_index] * job.request.slots))
-        self.out.append(api.Send(job.request.id, view.entry.id))
-        quick = self.quick.get(view.entry.zone, 10.0)
-        self.alarms.call_at(
-            self.now + quick + 4.0 * self.work[job.class_index], self._silent, attempt, number
+        view.recent_work.append((self.now, self.mean_service_ms[job.class_index] * job.request.slots))
+        self.actions.append(api.Send(job.request.id, view.entry.id))
+        quick = self.start_delay_by_zone.get(view.entry.zone, 10.0)
+        self.timers.call_at(
+            self.now + quick + 4.0 * self.mean_service_ms[job.class_index], self._silent, attempt, number
         )
-        if self.accepts:
-            self.alarms.call_at(self.now + ACCEPT_MS, self._silent, attempt, number)
-        if self.set.tells_start:
-            self.alarms.call_at(self.now + 3.0 * quick + 2 * self.set.tick, self._late_start, attempt, number)
+        if self.acceptance_reported:
+            self.timers.call_at(self.now + ACCEPT_MS, self._silent, attempt, number)
+        if self.settings.tells_start:
+            self.timers.call_at(
+                self.now + 3.0 * quick + 2 * self.settings.tick, self._late_start, attempt, number
+            )
 
     def _note(self, note: api.ProgressReport) -> None:
         attempt = self.open_attempts.get((note.request, note.attempt))
         if attempt is not None:
             attempt.worker.last_heard_ms = attempt.last_progress_ms = self.now
             attempt.worker.reports_progress |= not note.started
-            if self.set.progress > 0 and self.set.cancel:
-                self.alarms.call_at(
-                    self.now + MISSED * self.set.progress, self._unheard, attempt, note.attempt
+            if self.settings.progress > 0 and self.settings.cancel:
+                self.timers.call_at(
+                    self.now + MISSED * self.settings.progress, self._unheard, attempt, note.attempt
                 )
         if attempt is not None and note.started and not attempt.started_ms:
             view = attempt.worker
@@ -481,9 +521,9 @@
             view.running_slots += attempt.job.request.slots
             view.peak_running_slots = max(view.peak_running_slots, view.running_slots)
             took, zone = self.now - attempt.forwarded_ms, view.entry.zone
-            quick = self.quick.get(zone, 10.0)
-            if took < 3 * quick + 2 * self.set.tick:
-                self.quick[zone] = quick + 0.05 * (took - quick)
+            quick = self.start_delay_by_zone.get(zone, 10.0)
+            if took < 3 * quick + 2 * self.settings.tick:
+                self.start_delay_by_zone[zone] = quick + 0.05 * (took - quick)
                 if (
                     view.running_slots == view.reserved_slots
                 ):  # it started at once: no more than this is taken by others
@@ -495,7 +535,7 @@
     def _accepted(self, event: api.Accepted) -> None:
         attempt = self.open_attempts.get((event.request, event.attempt))
         if attempt is not None:
-            self.accepts, attempt.worker.last_heard_ms = True, self.now
+            self.acceptance_reported, attempt.worker.last_heard_ms = True, self.now
 
     def _late_start(self, attempt: Attempt, number: int, again: bool = False) -> None:
         """A job not yet started lies in a queue: the count was wrong. Correct it; move what may repeat."""
@@ -516,15 +556,15 @@
         if not self._may_move(attempt.job):
             return
         if self._room(attempt.job) is not None:
-            self.out.append(api.Cancel(attempt.job.request.id, number))
-        elif self.asks:  # perhaps soon
+            self.actions.append(api.Cancel(attempt.job.request.id, number))
+        elif self.can_probe_slots:  # perhaps soon
             self._look(attempt.job)
-            self.alarms.call_at(self.now + HOLD_MS, self._late_start, attempt, number, True)
+            self.timers.call_at(self.now + HOLD_MS, self._late_start, attempt, number, True)
 
     def _unheard(self, attempt: Attempt, number: int) -> None:
         """A started job of which the worker tells nothing, though it tells of jobs: it was lost there, or its
         end was. Give it up: it would hold its slots here until the client's time is over."""
-        view, patience = attempt.worker, MISSED * self.set.progress
+        view, patience = attempt.worker, MISSED * self.settings.progress
         if (
             not attempt.is_open
             or not view.reports_progress
@@ -532,28 +572,28 @@
         ):
             return
         if (
-            view.last_heard_ms < attempt.last_progress_ms + self.set.progress
+            view.last_heard_ms < attempt.last_progress_ms + self.settings.progress
             and self.now < attempt.last_progress_ms + 2 * patience - 1.0
         ):
             # Nothing of others either: it may stand still for a moment.
-            self.alarms.call_at(attempt.last_progress_ms + 2 * patience, self._unheard, attempt, number)
+            self.timers.call_at(attempt.last_progress_ms + 2 * patience, self._unheard, attempt, number)
             return
-        self.out.append(api.Cancel(attempt.job.request.id, number))
+        self.actions.append(api.Cancel(attempt.job.request.id, number))
 
     def _silent(self, attempt: Attempt, number: int) -> None:
         """Nothing heard of the worker since it should have taken the job, or ended it: it may hang."""
         if attempt.is_open and attempt.worker.last_heard_ms <= attempt.forwarded_ms:
             self._strike(attempt.worker, "silent")
             if self._may_move(attempt.job):
-                self.out.append(api.Cancel(attempt.job.request.id, number))
+                self.actions.append(api.Cancel(attempt.job.request.id, number))
 
     def _may_move(self, job: Job) -> bool:
         """Whether a job may be called back, to be sent elsewhere once that attempt has ended."""
         return (
-            self.set.cancel
+            self.settings.cancel
             and job.service_class.effect != "unsafe"
             and job.request.id in self.jobs
-            and len(job.attempts) < self.set.max_attempts - 1
+            and len(job.attempts) < self.settings.max_attempts - 1
         )
 
     def _strike(self, view: WorkerState, why: str) -> None:
@@ -564,9 +604,11 @@
         rest = min(SET_ASIDE_MS * 2 ** (view.ejection_count - 1), MOST_ASIDE_MS)
         view.ejected_until_ms = self.now + rest * self.rng.uniform(0.75, 1.25)
         view.concurrency_limit = 1.0
-        self.lines += 1
-        if self.lines <= LOG_LINES:
-            self.out.append(api.Log(f"worker {view.entry.id} set aside: {why}, strike {view.ejection_count}"))
+        self.log_line_count += 1
+        if self.log_line_count <= LOG_LINES:
+            self.actions.append(
+                api.Log(f"worker {view.entry.id} set aside: {why}, strike {view.ejection_count}")
+            )
 
     def _ended(self, event: api.Outcome) -> None:
         attempt = self.open_attempts.pop((event.request, event.attempt), None)
@@ -591,7 +633,7 @@
             if view.is_owned and full and not view.slots_reported:
                 view.lower_capacity(self.now + MOST_ASIDE_MS)
         elif result in ("error", "unreachable", "timeout") or (  # a reset may be a push-out by priority
-            result == "reset" and not (self.set.preempts and job.service_class.effect == "safe")
+            result == "reset" and not (self.settings.preempts and job.service_class.effect == "safe")
         ):
             self._strike(view, result)
         live = job if self.jobs.get(event.request) is job else None
@@ -610,9 +652,9 @@
             if attempt.started_ms
             else elapsed or self.now - attempt.forwarded_ms
         )
-        mean = self.work[job.class_index]
+        mean = self.mean_service_ms[job.class_index]
         view.relative_service_time += 0.1 * (min(took / mean, 4.0) - view.relative_service_time)
-        self.work[job.class_index] = mean + 0.02 * (min(took, 3.0 * mean) - mean)
+        self.mean_service_ms[job.class_index] = mean + 0.02 * (min(took, 3.0 * mean) - mean)
         if self.now > view.ejected_until_ms + MOST_ASIDE_MS:
             view.ejection_count = 0
         view.ejected_until_ms = min(view.ejected_until_ms, self.now)
@@ -633,7 +675,7 @@
         ran = [each for each in job.attempts if not each.never_ran]
         if (
             self.now >= job.request.deadline
-            or len(job.attempts) >= self.set.max_attempts
+            or len(job.attempts) >= self.settings.max_attempts
             or (ran and job.service_class.effect == "unsafe")
         ):
             self._end(job)
@@ -659,11 +701,11 @@
         """The request is over; what is still out for it is called off."""
         self._unhold(job)
         self.jobs.pop(job.request.id, None)
-        self.out += [answer] if answer is not None else []
-        self.out += [
+        self.actions += [answer] if answer is not None else []
+        self.actions += [
             api.Cancel(job.request.id, number)
             for number, each in enumerate(job.attempts)
-            if each.is_open and self.set.cancel
+            if each.is_open and self.settings.cancel
         ]
 
     def _left(self, event: api.ClientGone | api.StreamStarted) -> None:
--- a/spanwing/simulation/fleet.py
+++ b/spanwing/simulation/fleet.py
@@ -668,7 +668,9 @@
             self.schedulers_believed_up.remove(previous)
         self.schedulers_believed_up.append(restarted)
         restarted.receive_event(
-            api.WorkerList("persisted", tuple(view.entry for view in previous.decision_module.views.values()))
+            api.WorkerList(
+                "persisted", tuple(view.entry for view in previous.decision_module.worker_states.values())
+            )
         )
         # What it has missed arrives with its first poll of discovery.
         self.event_queue.schedule_after(
--- a/spanwing/simulation/zone_fleet.py
+++ b/spanwing/simulation/zone_fleet.py
@@ -59,10 +59,10 @@
             scheduler.zone,
             settings.cold_ms,
             settings.fall_ms,
-            scheduler.decision_module.feeders,
+            scheduler.decision_module.feeder_count,
         )
         self.zone_agent = ZoneAgent(
-            rules, settings.node, settings.nodes, scheduler.decision_module.feeds, self.random_source
+            rules, settings.node, settings.nodes, scheduler.decision_module.is_feeder, self.random_source
         )
         self.lease, self.document = Lease(), Document()
         self.last_renewal_number = self.last_answered_renewal = 0
@@ -123,7 +123,7 @@
         )
         self.lease.record_renewal(renewal_number, now)
         evidence = msgspec.json.encode(
-            self.zone_agent.build_evidence_report(now, decision_module.views.values(), now)
+            self.zone_agent.build_evidence_report(now, decision_module.worker_states.values(), now)
         )
         message = Renew(
             renewal_number,
@@ -249,7 +249,7 @@
             return
         now, decision_module = self.event_queue.now_ms, self.scheduler.decision_module
         evidence = msgspec.json.encode(
-            self.zone_agent.build_evidence_report(now, decision_module.views.values(), now)
+            self.zone_agent.build_evidence_report(now, decision_module.worker_states.values(), now)
         )
         previous_zones = read_fleet_zones(self.document)
         if self.standalone.evaluate(now, evidence):
@@ -308,7 +308,7 @@
         StandaloneSimulatedFollower(self, scheduler, self.incarnation_count)
         scheduler.receive_event(
             api.WorkerList(
-                "persisted", tuple(view.entry for view in scheduler.decision_module.views.values())
+                "persisted", tuple(view.entry for view in scheduler.decision_module.worker_states.values())
             )
         )
 
@@ -354,7 +354,7 @@
             self.controllers[scheduler.name] = self._make_controller(scheduler)
         scheduler.receive_event(
             api.WorkerList(
-                "persisted", tuple(view.entry for view in scheduler.decision_module.views.values())
+                "persisted", tuple(view.entry for view in scheduler.decision_module.worker_states.values())
             )
         )
 
--- a/spanwing/zones/agent.py
+++ b/spanwing/zones/agent.py
@@ -111,7 +111,7 @@
         workers.
         """
         for worker in self.newly_admitted:
-            worker_state = scheduler.views.get(worker)
+            worker_state = scheduler.worker_states.get(worker)
             if worker_state is not None and worker_state.entry.state == "healthy":
                 worker_state.concurrency_limit = 1.0
         self.newly_admitted.clear()
--- a/spanwing/zones/service.py
+++ b/spanwing/zones/service.py
@@ -178,14 +178,14 @@
             settings.zone,
             settings.cold_ms,
             settings.fall_ms,
-            request_manager.scheduler.feeders,
+            request_manager.scheduler.feeder_count,
             not zone_settings.members,
         )
         self.agent = ZoneAgent(
             rules,
             settings.node,
             settings.nodes,
-            lambda worker: request_manager.scheduler.feeds(worker),
+            lambda worker: request_manager.scheduler.is_feeder(worker),
             self.random_source,
         )
         request_manager.zone_routing = self
@@ -300,7 +300,7 @@
         rules = self.agent.rules._replace(
             cold_ms=settings.cold_ms,
             fall_ms=settings.fall_ms,
-            feeders=self.request_manager.scheduler.feeders,
+            feeders=self.request_manager.scheduler.feeder_count,
         )
         self.agent.rules = self.agent.routing_filter.rules = rules
         self.agent.hashed_feeders.clear()
@@ -359,7 +359,7 @@
     def _collect_evidence(self) -> bytes:
         module = self.request_manager.scheduler
         return msgspec.json.encode(
-            self.agent.build_evidence_report(clock_ms(), module.views.values(), module.now)
+            self.agent.build_evidence_report(clock_ms(), module.worker_states.values(), module.now)
         )
 
     async def _run_background_probes(self) -> None:
--- a/spanwing/zones/trial_requests.py
+++ b/spanwing/zones/trial_requests.py
@@ -23,12 +23,12 @@
     def __call__(self, job: Job) -> WorkerState | None:
         """Returns a worker still to be tried that can take this request; None: place it as usual."""
         if self.scheduler.now >= self.ends_at_ms or not self.untried_workers:
-            self.scheduler.first = None
+            self.scheduler.placement_override = None
             return None
-        if job.attempts or job.service_class.effect != "safe" or self.scheduler.set.max_attempts < 2:
+        if job.attempts or job.service_class.effect != "safe" or self.scheduler.settings.max_attempts < 2:
             return None
         for worker in sorted(self.untried_workers):
-            view = self.scheduler.views.get(worker)
+            view = self.scheduler.worker_states.get(worker)
             if view is not None and self.scheduler._fits(view, job):
                 self.untried_workers.discard(worker)
                 return view
@@ -40,4 +40,4 @@
 
     now: ms, by the scheduler's clock. Replaces the trials of an earlier call.
     """
-    scheduler.first = TrialPlacement(scheduler, workers, now) if workers else None
+    scheduler.placement_override = TrialPlacement(scheduler, workers, now) if workers else None
--- a/spanwing/zones/unreachable_work.py
+++ b/spanwing/zones/unreachable_work.py
@@ -18,7 +18,7 @@
 
 
 def _fail_unreachable_work(module: Scheduler, event: ZoneUnreachable) -> None:
-    if not module.waiting:
+    if not module.queued_count:
         return
     for job in [
         each for each in module.jobs.values() if each.is_queued and each.service_class.effect == "keyed"
--- a/tests/golden_messages.py
+++ b/tests/golden_messages.py
@@ -400,11 +400,11 @@
     )
     module = Scheduler(told, 1, 1.5)
     (
-        module.work,
-        module.kinds,
-        module.busy,
-        module.keys,
-        module.accepts,
+        module.mean_service_ms,
+        module.slots_by_kind,
+        module.fleet_utilization,
+        module.sticky_share,
+        module.acceptance_reported,
     ) = (
         [2.5],
         {"large": 4.5},
@@ -412,7 +412,7 @@
         0.25,
         True,
     )
-    ledger = module.ledgers["corrib"]
+    ledger = module.token_accounts["corrib"]
     ledger.earned, ledger.spent, ledger.burst_allowance = 1.5, 2.5, 3.5
     return module
 
@@ -437,7 +437,7 @@
 def taken_over(workers: bytes, module: bytes) -> tuple[bytes, bytes]:
     """The state of a fresh module after it took over these two messages, told on in the same form."""
     told, of_all = messages.decode_message(workers), messages.decode_message(module)
-    fresh = Scheduler(_dispatcher().set, 2, 0.0)
+    fresh = Scheduler(_dispatcher().settings, 2, 0.0)
     learned.import_scheduler(fresh, of_all, 0.0)
     views = []
     for seen in told.estimates:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -110,7 +110,7 @@
 def test_answer_is_in_time_with_no_worker_at_all():
     node = Driver()
     rid, actions = node.ask("bill", wait=1000.0)
-    assert not sends(actions) and Reject(rid) in node.run(1000.0 + node.node.set.answer_grace)
+    assert not sends(actions) and Reject(rid) in node.run(1000.0 + node.node.settings.answer_grace)
 
 
 def test_nothing_goes_to_a_draining_worker():
@@ -175,9 +175,9 @@
 def test_the_ring_of_ids_is_made_only_when_a_key_comes():
     node = Driver(workers=50)
     node.ask("look")
-    assert not node.node.ring
+    assert not node.node.hash_ring
     node.ask("look", key="a")
-    assert node.node.ring
+    assert node.node.hash_ring
 
 
 PROBED = dict(probes=True, report_fields=("queue", "free_slots"), tells_start=True, max_attempts=3)
@@ -194,7 +194,7 @@
 def test_beyond_home_a_job_goes_only_where_a_slot_was_seen_to_be_idle():
     """Forty nodes that take the same slot for idle by a guess fill each other's homes."""
     node = Driver(settings(nodes=40, node=7, **PROBED), workers=60)
-    home = {view.entry.id for view in node.node.home}
+    home = {view.entry.id for view in node.node.owned_workers}
     out = [each for _ in range(20) for each in node.ask("look")[1]]
     assert {each.worker for each in sends(out)} == home
     asked = probes(out)
@@ -232,11 +232,11 @@
     made = [Driver(settings(nodes=nodes, node=n)) for n in range(nodes)]
     for node in made:
         node.feed(WorkerList("complete", tuple(Worker(n) for n in names)))
-    before = [{view.entry.id for view in node.node.home} for node in made]
+    before = [{view.entry.id for view in node.node.owned_workers} for node in made]
     assert {len(each) for each in before} == {1, 2} and sum(map(len, before)) == 60
     for node in made:
         node.feed(WorkerList("partial", (Worker(1030, "gone"),)))
-    after = [{view.entry.id for view in node.node.home} for node in made]
+    after = [{view.entry.id for view in node.node.owned_workers} for node in made]
     assert sum(map(len, after)) == 59
     assert sum(len(new - old) for new, old in zip(after, before, strict=True)) <= 12
 
@@ -290,7 +290,7 @@
                 settings(classes=(short,), nodes=40, node=n, cold_from=0.3, cold_ms=8600.0, fall_ms=3000.0)
             )
             node.now = life
-            node.node.__init__(node.node.set, n, life)
+            node.node.__init__(node.node.settings, n, life)
             node.feed(WorkerList("persisted", (Worker(1000, started=50.0),)))
             for _ in range(20):
                 rid, actions = node.ask("look")
@@ -328,7 +328,7 @@
 
 def test_memory_stays_bounded_and_work_does_not_grow_with_the_fleet():
     node = Driver(settings(nodes=50), workers=1000)
-    assert len(node.node.home) == 20
+    assert len(node.node.owned_workers) == 20
     for _ in range(300):
         rid, actions = node.ask("look")
         for each in sends(actions):
@@ -336,7 +336,7 @@
     node.run(30000.0)
     node.feed(WorkerList("complete", (Worker(1),)))
     inner = node.node
-    assert (len(inner.jobs), len(inner.open_attempts), len(inner.alarms.heap), len(inner.views)) == (
+    assert (len(inner.jobs), len(inner.open_attempts), len(inner.timers.heap), len(inner.worker_states)) == (
         0,
         0,
         0,
@@ -393,7 +393,7 @@
     node = Driver(settings(tenants=tenants(x=2.0)), workers=1)
     node.now = 3000.0
     node.ask("look", tenant="x")
-    ledger = node.node.ledgers["x"]
+    ledger = node.node.token_accounts["x"]
     assert math.isclose(ledger.earned, 6.0) and ledger.spent == 1.0
 
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -158,7 +158,7 @@
         )
         self.assertFalse(any(each.worker.is_down for each in fleet.worker_hosts.values()))
         fleet.event_queue.run_until(7000.0)  # by now the last has its list
-        self.assertEqual({len(each.decision_module.views) for each in fleet.schedulers}, {60})
+        self.assertEqual({len(each.decision_module.worker_states) for each in fleet.schedulers}, {60})
 
     def test_workers_are_replaced_by_cold_ones_while_all_is_accounted_for(self) -> None:
         made = scenario("fleet-join")
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -219,7 +219,7 @@
     def test_pool_when_the_list_shrinks_and_a_worker_set_aside_leaves_and_comes_back(self) -> None:
         self.list(Worker(1), Worker(2), Worker(3, "draining"))
         self.assertEqual(self.core.pool_counts(), (3, 0))
-        view = self.core.scheduler.views[1]
+        view = self.core.scheduler.worker_states[1]
         self.core.scheduler.now = self.core.clock.now_ms()
         self.core.scheduler._strike(view, "error")
         self.assertEqual(self.core.pool_counts(), (3, 1))
@@ -254,10 +254,10 @@
         self.assertGreater(first, 0)
         stop_feeding(old.node)
         import_scheduler(new.node, export_scheduler(old.node, 1, "x"), new.now)
-        import_worker(new.node.views[1], export_worker(old.node.views[1]), new.now)
+        import_worker(new.node.worker_states[1], export_worker(old.node.worker_states[1]), new.now)
         new.now = old.now = 600.0
         # As other jobs end there the slots are free again, but the budget of the window is spent.
-        new.node.views[1].foreign_slots = 0.0
+        new.node.worker_states[1].foreign_slots = 0.0
         again = sum(isinstance(each, Send) for _ in range(20) for each in new.ask()[1])
         late = sum(isinstance(each, Send) for _ in range(20) for each in old.ask()[1])
         alone = Driver()
@@ -282,19 +282,19 @@
         told = export_attempts(job)
         release_request(old.node, rid)
         self.assertEqual(
-            (old.node.views[worker].reserved_slots, old.node.jobs, old.node.open_attempts),
+            (old.node.worker_states[worker].reserved_slots, old.node.jobs, old.node.open_attempts),
             (0, {}, {}),
         )
         actions = new.feed(
             RequestResumed(api.Request(rid, "bill", 5000.0), job.arrived_ms, False, False, told)
         )
         self.assertEqual(actions, [])  # an attempt is out: nothing is sent
-        self.assertEqual(new.node.views[worker].reserved_slots, 1)
+        self.assertEqual(new.node.worker_states[worker].reserved_slots, 1)
         # Its end is the old one's no more, and answers at the new one: what must not run twice goes no more.
         self.assertEqual(old.feed(Outcome(rid, 0, worker, "ok", True, 1.0)), [])
         self.assertEqual(new.end(rid, 0, worker, "reset")[-1], api.Fail(rid))
         self.assertNotIn(api.Send, {type(each) for each in new.seen})
-        self.assertEqual(new.node.views[worker].reserved_slots, 0)
+        self.assertEqual(new.node.worker_states[worker].reserved_slots, 0)
 
     def test_a_held_request_goes_over_and_is_sent_there(self) -> None:
         from spanwing import interface as api
@@ -305,7 +305,7 @@
         job = old.node.jobs[rid]
         told = export_attempts(job)
         release_request(old.node, rid)
-        self.assertEqual(old.node.waiting, 0)
+        self.assertEqual(old.node.queued_count, 0)
         actions = new.feed(
             RequestResumed(api.Request(rid, "look", 5000.0), job.arrived_ms, False, False, told)
         )
