--- a/spanwing/hot_restart/state_transfer.py
+++ b/spanwing/hot_restart/state_transfer.py
@@ -13,7 +13,7 @@
 
 from spanwing import interface as api
 from spanwing.hot_restart.messages import SchedulerEstimates, TransferredAttempt, WorkerEstimates
-from spanwing.scheduler import GUESS, HANDLERS, MISSED, Scheduler
+from spanwing.scheduler import ASSUMED_SLOTS, HANDLERS, MISSED_PROGRESS_INTERVALS, Scheduler
 from spanwing.scheduler_state import Attempt, Job, TokenAccount, WorkerState
 
 
@@ -157,7 +157,7 @@
 def release_request(scheduler: Scheduler, request_id: str) -> None:
     """Drops a request that another process now has: it is no longer queued, and its slots are released."""
     job = scheduler.jobs.pop(request_id)
-    scheduler._unhold(job)
+    scheduler._dequeue(job)
     for number, attempt in enumerate(job.attempts):
         if attempt.is_open:
             del scheduler.open_attempts[request_id, number]
@@ -180,12 +180,12 @@
         is_over_quota=event.is_over_quota,
     )
     scheduler.jobs[req.id] = job
-    scheduler.timers.call_at(req.deadline, scheduler._end, job)
+    scheduler.timers.call_at(req.deadline, scheduler._finish_unserved, job)
     for number, transferred in enumerate(event.attempts):
         worker = scheduler.worker_states.get(transferred.worker_id)
         if worker is None:  # gone from the list; its attempt may still end
             worker = scheduler.worker_states[transferred.worker_id] = WorkerState(
-                api.Worker(transferred.worker_id, "gone"), False, GUESS
+                api.Worker(transferred.worker_id, "gone"), False, ASSUMED_SLOTS
             )
         attempt = Attempt(
             job,
@@ -201,8 +201,8 @@
             scheduler.open_attempts[req.id, number] = attempt
             _reserve_slots(scheduler, attempt, number)
     if not any(each.is_open for each in job.attempts):
-        scheduler._hold(job)
-        scheduler._drain()
+        scheduler._enqueue(job)
+        scheduler._dispatch_queued()
 
 
 def _reserve_slots(scheduler: Scheduler, attempt: Attempt, number: int) -> None:
@@ -219,20 +219,20 @@
     elif settings.tells_start:
         scheduler.timers.call_at(
             attempt.forwarded_ms + 3.0 * start_delay_ms + 2 * settings.tick,
-            scheduler._late_start,
+            scheduler._check_started,
             attempt,
             number,
         )
     if attempt.last_progress_ms and settings.progress > 0 and settings.cancel:
         scheduler.timers.call_at(
-            attempt.last_progress_ms + MISSED * settings.progress,
-            scheduler._unheard,
+            attempt.last_progress_ms + MISSED_PROGRESS_INTERVALS * settings.progress,
+            scheduler._check_progress,
             attempt,
             number,
         )
     scheduler.timers.call_at(
         attempt.forwarded_ms + start_delay_ms + 4.0 * scheduler.mean_service_ms[job.class_index],
-        scheduler._silent,
+        scheduler._check_heard,
         attempt,
         number,
     )
--- a/spanwing/scheduler.py
+++ b/spanwing/scheduler.py
@@ -15,8 +15,8 @@
 
 from spanwing import interface as api
 from spanwing.scheduler_state import (
-    FRESH_MS,
-    MEMORY_MS,
+    FOREIGN_LOAD_DECAY_MS,
+    OBSERVATION_FRESH_MS,
     Attempt,
     Job,
     TimerQueue,
@@ -25,17 +25,27 @@
     stable_hash,
 )
 
-GUESS = 4.0  # slots assumed at a worker before anything is learned
-FADED = 0.4  # of a slot: less than this, held by others as last seen, keeps no worker from its trial
-COLD_PART = 0.6  # of a cold worker's budget is dealt out; the rest is for jobs longer than the mean
-HOLD_MS = 20.0  # held jobs look again for idle slots this often
-SET_ASIDE_MS, MOST_ASIDE_MS = 1000.0, 8000.0  # first and longest rest of a failing worker
-LOOKS, LOOK_AT = 1.0, 2  # probes earned by each arrival, as they are priced by the request; most for one job
-ACCEPT_MS = 500.0  # a worker that takes jobs says so at once; its pauses are shorter
-MISSED = 1.5  # of a worker's intervals of progress, without a word on a job
-SCAN = 24  # workers looked at for one placement, at most
-LOG_LINES = 60
-KEYS_COUNT, KEYS_FADE = 0.2, 0.02  # keys steer all placement from this share of arrivals; how fast it moves
+ASSUMED_SLOTS = 4.0  # slots assumed at a worker before anything is learned
+NEGLIGIBLE_FOREIGN_SLOTS = (
+    0.4  # of a slot: less than this, held by others as last seen, keeps no worker from its trial
+)
+WARM_UP_BUDGET_FRACTION = (
+    0.6  # of a cold worker's budget is dealt out; the rest is for jobs longer than the mean
+)
+QUEUE_POLL_MS = 20.0  # held jobs look again for idle slots this often
+FIRST_EJECTION_MS, MAX_EJECTION_MS = 1000.0, 8000.0  # first and longest rest of a failing worker
+PROBES_PER_ARRIVAL, MAX_PROBES_PER_JOB = (
+    1.0,
+    2,
+)  # probes earned by each arrival, as they are priced by the request; most for one job
+ACCEPTANCE_TIMEOUT_MS = 500.0  # a worker that takes jobs says so at once; its pauses are shorter
+MISSED_PROGRESS_INTERVALS = 1.5  # of a worker's intervals of progress, without a word on a job
+MAX_SCANNED_WORKERS = 24  # workers looked at for one placement, at most
+MAX_LOG_LINES = 60
+STICKY_SHARE_THRESHOLD, STICKY_SHARE_GAIN = (
+    0.2,
+    0.02,
+)  # keys steer all placement from this share of arrivals; how fast it moves
 
 
 class Scheduler:
@@ -59,14 +69,14 @@
         # A cold worker is fed by as many nodes as it may have slots, whoever is down, each with a part of the
         # budget that holds a job. They are found by the worker's id alone, so that late lists cannot add any.
         jobs = (
-            COLD_PART
+            WARM_UP_BUDGET_FRACTION
             * settings.fall_multiple
             * settings.cold_from
-            * GUESS
+            * ASSUMED_SLOTS
             * settings.fall_ms
             / (2.0 * sum(each.aim for each in settings.classes) / len(settings.classes))
         )
-        self.feeder_count = max(1, min(settings.nodes, int(GUESS), int(jobs)))
+        self.feeder_count = max(1, min(settings.nodes, int(ASSUMED_SLOTS), int(jobs)))
         self.worker_states: dict[int, WorkerState] = {}  # workers
         self.assigned_kinds: dict[WorkerState, str] = {}  # workers with their kinds, as dealt out last
         self.assignment_order: list[WorkerState] = []  # the same, in the order of the deal
@@ -107,7 +117,7 @@
         self.timers.run_due(now)
         return self.actions + self.timers.next_timer(now)
 
-    def _listed(self, event: api.WorkerList) -> None:
+    def _on_worker_list(self, event: api.WorkerList) -> None:
         if event.scope == "error":
             # Discovery is one small service: nodes whose calls broke together come back at random moments.
             when = self.now + self.rng.uniform(500.0, 4000.0)
@@ -120,7 +130,7 @@
         for entry in event.workers:
             view = self.worker_states.get(entry.id)
             if view is None:
-                changed, total = True, self.slots_by_kind.get(entry.kind, GUESS)
+                changed, total = True, self.slots_by_kind.get(entry.kind, ASSUMED_SLOTS)
                 view = self.worker_states[entry.id] = WorkerState(entry, 0.0, total)
             elif view.entry == entry and entry.feeder is None and not self.settings.live_weights:
                 continue
@@ -138,10 +148,10 @@
                 )
             view.entry, view.max_weight = entry, max(view.max_weight, entry.weight)
             if self.settings.live_weights and entry.weight > 0:
-                self._observe(view, (view.max_weight / entry.weight - 1.0) * view.estimated_slots)
+                self._observe_load(view, (view.max_weight / entry.weight - 1.0) * view.estimated_slots)
         if changed:
             self.assign_workers()
-        self._drain()
+        self._dispatch_queued()
 
     def is_feeder(self, worker: int) -> bool:
         own = stable_hash(worker, self.settings.node), -self.settings.node
@@ -183,14 +193,14 @@
         ]
         self.hash_ring = []  # of no use to most nodes, and long to make: at the next key
 
-    def _observe(self, view: WorkerState, inflight: float) -> None:
+    def _observe_load(self, view: WorkerState, inflight: float) -> None:
         """Take in a sight of how many jobs a worker holds; what is not ours is others'."""
         view.observe_load(inflight, self.now)
         self.fleet_utilization += 0.01 * (
             min(1.0, inflight / max(view.estimated_slots, 1.0)) - self.fleet_utilization
         )
 
-    def _report(self, view: WorkerState, report: tuple[float, ...] | None) -> None:
+    def _apply_report(self, view: WorkerState, report: tuple[float, ...] | None) -> None:
         got = dict(zip(self.settings.report_fields, report or (), strict=False))
         inflight, queue, free = got.get("inflight"), got.get("queue", 0.0), got.get("free_slots")
         kind = view.entry.kind
@@ -204,112 +214,116 @@
             view.estimated_slots, view.slots_reported = self.slots_by_kind[kind], True
             inflight = max(0.0, view.estimated_slots - free) + queue
         if inflight is not None:
-            self._observe(view, inflight)
+            self._observe_load(view, inflight)
 
-    def _arrive(self, req: api.Request) -> None:
+    def _on_request(self, req: api.Request) -> None:
         index = self.class_indexes.get(req.cls, 0)
         job = self.jobs[req.id] = Job(req, self.settings.classes[index], index, self.now)
-        ledger = self._ledger(job)
+        ledger = self._account_of(job)
         ledger.refill(self.now)
-        self.sticky_share += KEYS_FADE * ((req.key is not None) - self.sticky_share)
-        self.probe_budget = min(self.probe_budget + LOOKS, 10.0)
+        self.sticky_share += STICKY_SHARE_GAIN * ((req.key is not None) - self.sticky_share)
+        self.probe_budget = min(self.probe_budget + PROBES_PER_ARRIVAL, 10.0)
         job.is_over_quota = self.settings.over_share_worth < 1.0 and not ledger.count_arrival()
-        self.timers.call_at(req.deadline, self._end, job)
+        self.timers.call_at(req.deadline, self._finish_unserved, job)
         view = self._place(job) if ledger.earned - ledger.spent > 0 else None
         if view is not None:
             self._send(job, view)
         else:
-            self._hold(job)
-            self._drain()
+            self._enqueue(job)
+            self._dispatch_queued()
             if job.is_queued:
-                self._look(job)
+                self._probe_idle_slots(job)
 
-    def _look(self, job: Job) -> None:
+    def _probe_idle_slots(self, job: Job) -> None:
         """Ask others' workers, and home for what cannot be called back from there, for their idle slots."""
         if not self.can_probe_slots or job.request.key is not None or job.request.id not in self.jobs:
             return
-        todo = min(LOOK_AT, int(self.probe_budget))
+        todo = min(MAX_PROBES_PER_JOB, int(self.probe_budget))
         some = (
-            self.rng.sample(self.foreign_workers, min(len(self.foreign_workers), 4 * LOOK_AT)) if todo else []
+            self.rng.sample(self.foreign_workers, min(len(self.foreign_workers), 4 * MAX_PROBES_PER_JOB))
+            if todo
+            else []
         )
-        for view in [each for each in self.owned_workers + self.fed_workers if self._fits(each, job)] + some:
+        for view in [
+            each for each in self.owned_workers + self.fed_workers if self._has_room(each, job)
+        ] + some:
             if (
                 todo > 0
-                and self.now - max(view.last_observed_ms, view.last_probed_ms) > FRESH_MS
-                and self._usable(view, job)
+                and self.now - max(view.last_observed_ms, view.last_probed_ms) > OBSERVATION_FRESH_MS
+                and self._may_use(view, job)
             ):
                 view.last_probed_ms, todo, self.probe_budget = self.now, todo - 1, self.probe_budget - 1.0
                 self.actions.append(api.Probe(view.entry.id))
 
-    def _probed(self, event: api.ProbeResult) -> None:
+    def _on_probe_result(self, event: api.ProbeResult) -> None:
         view = self.worker_states.get(event.worker)
         if view is not None and event.result == "ok":
             view.last_heard_ms, view.last_observed_ms = (
                 self.now,
                 -math.inf,
             )  # what is asked for is no mean with what was seen
-            self._report(view, event.report)
+            self._apply_report(view, event.report)
             view.last_observed_ms = self.now
             self.recently_probed = [
                 each for each in self.recently_probed if each.is_fresh(self.now) and each is not view
             ]
             self.recently_probed += [] if view.is_owned else [view]
-            self._drain()
+            self._dispatch_queued()
 
-    def _ledger(self, job: Job) -> TokenAccount:
+    def _account_of(self, job: Job) -> TokenAccount:
         return self.token_accounts.get(job.request.tenant or "", self.token_accounts[None])
 
-    def _hold(self, job: Job) -> None:
+    def _enqueue(self, job: Job) -> None:
         if not self.is_queue_poll_set:
             self.is_queue_poll_set = True
-            self.timers.call_at(self.now + HOLD_MS, self._look_again)
+            self.timers.call_at(self.now + QUEUE_POLL_MS, self._poll_queues)
         self.queued_count, job.is_queued = self.queued_count + 1, True
         # In turn, an overloaded queue serves all of them just too late: what has waited its aim gives way.
         spoils = job.arrived_ms + job.service_class.aim
         if job.is_late or spoils <= self.now:
-            self._spoil(job)
+            self._pass_objective(job)
         else:
-            (self.over_quota_jobs if job.is_over_quota else self._ledger(job).queues[job.class_index]).append(
-                job
-            )
-            self.timers.call_at(spoils, self._spoil, job)
+            (
+                self.over_quota_jobs if job.is_over_quota else self._account_of(job).queues[job.class_index]
+            ).append(job)
+            self.timers.call_at(spoils, self._pass_objective, job)
 
-    def _look_again(self) -> None:
-        self._drain()
+    def _poll_queues(self) -> None:
+        self._dispatch_queued()
         for queue in [queue for ledger in self.token_accounts.values() for queue in ledger.queues if queue]:
-            self._look(queue[0])
+            self._probe_idle_slots(queue[0])
         self.is_queue_poll_set = self.queued_count > 0
         if self.is_queue_poll_set:
-            self.timers.call_at(self.now + HOLD_MS, self._look_again)
+            self.timers.call_at(self.now + QUEUE_POLL_MS, self._poll_queues)
 
-    def _spoil(self, job: Job) -> None:
+    def _pass_objective(self, job: Job) -> None:
         """A held job that can hardly be in time is refused, or where late pays waits behind the others."""
         job.is_late |= job.is_queued
         if (
             job.is_queued
             and (job.service_class.late_worth <= 0 or job.is_over_quota)
-            and self._may_refuse(job)
+            and self._may_reject(job)
         ):
-            self._finish(job, api.Reject(job.request.id, self._comeback(job)))
+            self._finish(job, api.Reject(job.request.id, self._retry_after(job)))
         elif job.is_queued:
             self.late_jobs.append(job)
 
-    def _drain(self) -> None:
+    def _dispatch_queued(self) -> None:
         """Held jobs leave while a fitting slot is idle, the tenant of lowest spent-to-earned ratio first."""
-        while self.queued_count and (found := self._next()):
+        while self.queued_count and (found := self._next_queued()):
             self._send(*found)
 
-    def _comeback(self, job: Job) -> float:
+    def _retry_after(self, job: Job) -> float:
         """When to come back: once the tenant's share allows one more; within it next tick. 0: no advice."""
-        ledger, wait = self._ledger(job), self.settings.tick
+        ledger, wait = self._account_of(job), self.settings.tick
         if job.is_over_quota:
             wait = max(wait, (1.0 - ledger.burst_allowance) * 1000.0 / max(ledger.quota_per_s, 0.001))
         return min(wait, self.settings.max_retry_after)
 
-    def _unhold(self, job: Job) -> None:
+    def _dequeue(self, job: Job) -> None:
         self.queued_count, job.is_queued = self.queued_count - job.is_queued, False
 
-    def _next(self) -> tuple[Job, WorkerState] | None:
+    def _next_queued(self) -> tuple[Job, WorkerState] | None:
         queues: list[deque[Job]] = []
         order: list[tuple[float, TokenAccount]] = []
         failed: list[tuple[int, float, str | None]] = []
@@ -348,21 +362,23 @@
             / (self.mean_service_ms[job.class_index] * job.request.slots + 1.0)
         )
 
-    def keyed(self) -> bool:
-        return self.sticky_share >= KEYS_COUNT
+    def places_by_key(self) -> bool:
+        return self.sticky_share >= STICKY_SHARE_THRESHOLD
 
-    def _free(self, view: WorkerState) -> float:
+    def _idle_slots(self, view: WorkerState) -> float:
         """Slots believed idle: the assumed total less what we hold and what others do, as last seen."""
-        alone = (view.is_owned and not self.keyed()) or (view.feeder_share and self._cold(view))
+        alone = (view.is_owned and not self.places_by_key()) or (
+            view.feeder_share and self._is_warming_up(view)
+        )
         prior = 0.0 if alone else self.fleet_utilization * view.estimated_slots
         others = prior + (view.foreign_slots - prior) * math.exp(
-            (view.last_observed_ms - self.now) / MEMORY_MS
+            (view.last_observed_ms - self.now) / FOREIGN_LOAD_DECAY_MS
         )
-        if view.concurrency_limit < view.estimated_slots and others < FADED:
+        if view.concurrency_limit < view.estimated_slots and others < NEGLIGIBLE_FOREIGN_SLOTS:
             others = 0.0  # it fades but never ends: off the limit of 1 after a rest, it left no slot ever
         return min(view.estimated_slots, view.concurrency_limit) - view.reserved_slots - others
 
-    def _usable(self, view: WorkerState, job: Job) -> bool:
+    def _may_use(self, view: WorkerState, job: Job) -> bool:
         """Whether this job may go to this worker at all."""
         entry, cls, now = view.entry, job.service_class, self.now
         if entry.state != "healthy" or now < view.ejected_until_ms or cls.kind not in (None, entry.kind):
@@ -371,12 +387,12 @@
             if not each.never_ran and (
                 cls.effect == "unsafe"
                 or each.worker is view
-                or (cls.effect == "keyed" and not self._remembers(each, cls, entry))
+                or (cls.effect == "keyed" and not self._deduplicates(each, cls, entry))
             ):
                 return False
-        return self._cold_allows(view, job)
+        return self._warm_up_allows(view, job)
 
-    def _remembers(self, ran: Attempt, cls: api.ServiceClass, entry: api.Worker) -> bool:
+    def _deduplicates(self, ran: Attempt, cls: api.ServiceClass, entry: api.Worker) -> bool:
         """Whether a worker still drops this keyed job as a repeat of an attempt that may have run."""
         first = ran.worker.entry
         return self.now < ran.forwarded_ms + cls.window - self.settings.tick and (
@@ -385,11 +401,11 @@
             and (cls.group == "zone" or first.cell == entry.cell)
         )
 
-    def _cold_allows(self, view: WorkerState, job: Job) -> bool:
+    def _warm_up_allows(self, view: WorkerState, job: Job) -> bool:
         """Keep a cold worker under its budget: its feeders alone, each with its part, send to it."""
         s, age = self.settings, self.now - view.entry.started
-        if not self._cold(view) or not view.feeder_share:
-            return not self._cold(view)
+        if not self._is_warming_up(view) or not view.feeder_share:
+            return not self._is_warming_up(view)
         share = (
             (s.cold_from + (1.0 - s.cold_from) * max(0.0, age) / s.cold_ms)
             * view.feeder_share
@@ -397,17 +413,17 @@
         )
         if view.entry.started < self.started_ms and self.now < self.started_ms + s.fall_ms:
             share /= 2.0  # an earlier life of this node may just have sent all of its part
-        budget = COLD_PART * s.fall_multiple * share * view.estimated_slots * s.fall_ms
+        budget = WARM_UP_BUDGET_FRACTION * s.fall_multiple * share * view.estimated_slots * s.fall_ms
         spent = sum(work for at, work in view.recent_work if at > self.now - s.fall_ms)
         spent += self.mean_service_ms[job.class_index] * job.request.slots
         return spent <= budget and view.reserved_slots + job.request.slots <= math.ceil(
             view.estimated_slots / self.feeder_count
         )
 
-    def _cold(self, view: WorkerState) -> bool:
+    def _is_warming_up(self, view: WorkerState) -> bool:
         return view.entry.started > 0 and self.now - view.entry.started < self.settings.cold_ms
 
-    def _fits(self, view: WorkerState, job: Job, slack: float = 0.0) -> bool:
+    def _has_room(self, view: WorkerState, job: Job, slack: float = 0.0) -> bool:
         if view.reserved_slots + job.request.slots > min(view.estimated_slots, view.concurrency_limit) or (
             self.settings.counts_memory
             and view.reserved_slots
@@ -416,50 +432,52 @@
             return False
         if view.concurrency_limit <= 1.0 and self.has_safe_class and job.service_class.effect != "safe":
             return False  # back from a rest, a worker proves itself on a job that may be repeated
-        return self._free(view) + slack >= job.request.slots and self._usable(view, job)
+        return self._idle_slots(view) + slack >= job.request.slots and self._may_use(view, job)
 
     def _place(self, job: Job) -> WorkerState | None:
         """A worker with room: for keys one that keeps them; else the fastest at home; else a neighbour."""
         if len(job.attempts) >= self.settings.max_attempts or any(each.is_open for each in job.attempts):
             return None
-        return (self.placement_override and self.placement_override(job)) or self._room(job)
+        return (self.placement_override and self.placement_override(job)) or self._find_worker(job)
 
-    def _room(self, job: Job) -> WorkerState | None:
+    def _find_worker(self, job: Job) -> WorkerState | None:
         if job.request.key is not None:
-            return self._place_key(job)
+            return self._find_sticky_worker(job)
         best: WorkerState | None = None
-        self.fed_workers = [view for view in self.fed_workers if self._cold(view)]
+        self.fed_workers = [view for view in self.fed_workers if self._is_warming_up(view)]
         # What cannot be called back from a queue goes only where a slot was seen to be idle.
         own, blind = (
             self.owned_workers + self.fed_workers,
             not self.can_probe_slots or job.service_class.effect != "unsafe" or self.probe_budget < 1.0,
         )
-        for view in own if len(own) <= SCAN else self.rng.sample(own, SCAN):
+        for view in own if len(own) <= MAX_SCANNED_WORKERS else self.rng.sample(own, MAX_SCANNED_WORKERS):
             known = (
                 blind
                 or view.is_fresh(self.now)
-                or view.last_observed_ms < view.last_probed_ms < self.now - FRESH_MS
+                or view.last_observed_ms < view.last_probed_ms < self.now - OBSERVATION_FRESH_MS
             )
             if (
                 (best is None or view.relative_service_time < best.relative_service_time)
                 and known
-                and self._fits(view, job)
+                and self._has_room(view, job)
             ):
                 best = view
         for view in self.recently_probed if best is None else ():
             if (
                 (best is None or view.relative_service_time < best.relative_service_time)
                 and view.is_fresh(self.now)
-                and self._fits(view, job)
+                and self._has_room(view, job)
             ):
                 best = view
         for group in (self.same_zone_workers, self.remote_workers) if not self.can_probe_slots else ():
             for view in [self.rng.choice(group) for _ in range(4)] if best is None and group else ():
-                if self._fits(view, job) and (best is None or self._free(view) > self._free(best)):
+                if self._has_room(view, job) and (
+                    best is None or self._idle_slots(view) > self._idle_slots(best)
+                ):
                     best = view
         return best
 
-    def _place_key(self, job: Job) -> WorkerState | None:
+    def _find_sticky_worker(self, job: Job) -> WorkerState | None:
         if not self.hash_ring:
             self.hash_ring = sorted(
                 (stable_hash(v.entry.id, 7919, i), v.entry.id)
@@ -468,52 +486,55 @@
                 for i in range(math.ceil(16 * min(v.max_weight, 8.0)))
             )
         # All nodes send a key to the same workers: each may have its part of the slots there, one at least.
-        most = max(1.0, 1.25 * GUESS / self.settings.nodes)
+        most = max(1.0, 1.25 * ASSUMED_SLOTS / self.settings.nodes)
         at, seen = bisect(self.hash_ring, (stable_hash(*job.request.key.encode()), 0)), set()
-        for i in range(min(len(self.hash_ring), SCAN)):
+        for i in range(min(len(self.hash_ring), MAX_SCANNED_WORKERS)):
             worker = self.hash_ring[(at + i) % len(self.hash_ring)][1]
             view = self.worker_states[worker]
             # A short queue there costs less than to fetch the key elsewhere.
             if (
                 worker not in seen
                 and view.reserved_slots < most
-                and self._fits(view, job, view.estimated_slots)
+                and self._has_room(view, job, view.estimated_slots)
             ):
                 return view
             seen.add(worker)
         return None
 
     def _send(self, job: Job, view: WorkerState) -> None:
-        self._unhold(job)
+        self._dequeue(job)
         number = len(job.attempts)
         attempt = Attempt(job, view, self.now)
         job.attempts.append(attempt)
         self.open_attempts[job.request.id, number] = attempt
         if number == 0:
-            self._ledger(job).spent += 1.0
+            self._account_of(job).spent += 1.0
         view.reserved_slots += job.request.slots
         view.reserved_memory += job.request.memory
         view.recent_work.append((self.now, self.mean_service_ms[job.class_index] * job.request.slots))
         self.actions.append(api.Send(job.request.id, view.entry.id))
         quick = self.start_delay_by_zone.get(view.entry.zone, 10.0)
         self.timers.call_at(
-            self.now + quick + 4.0 * self.mean_service_ms[job.class_index], self._silent, attempt, number
+            self.now + quick + 4.0 * self.mean_service_ms[job.class_index], self._check_heard, attempt, number
         )
         if self.acceptance_reported:
-            self.timers.call_at(self.now + ACCEPT_MS, self._silent, attempt, number)
+            self.timers.call_at(self.now + ACCEPTANCE_TIMEOUT_MS, self._check_heard, attempt, number)
         if self.settings.tells_start:
             self.timers.call_at(
-                self.now + 3.0 * quick + 2 * self.settings.tick, self._late_start, attempt, number
+                self.now + 3.0 * quick + 2 * self.settings.tick, self._check_started, attempt, number
             )
 
-    def _note(self, note: api.ProgressReport) -> None:
+    def _on_progress(self, note: api.ProgressReport) -> None:
         attempt = self.open_attempts.get((note.request, note.attempt))
         if attempt is not None:
             attempt.worker.last_heard_ms = attempt.last_progress_ms = self.now
             attempt.worker.reports_progress |= not note.started
             if self.settings.progress > 0 and self.settings.cancel:
                 self.timers.call_at(
-                    self.now + MISSED * self.settings.progress, self._unheard, attempt, note.attempt
+                    self.now + MISSED_PROGRESS_INTERVALS * self.settings.progress,
+                    self._check_progress,
+                    attempt,
+                    note.attempt,
                 )
         if attempt is not None and note.started and not attempt.started_ms:
             view = attempt.worker
@@ -532,12 +553,12 @@
                     )
                     view.last_observed_ms = self.now
 
-    def _accepted(self, event: api.Accepted) -> None:
+    def _on_accepted(self, event: api.Accepted) -> None:
         attempt = self.open_attempts.get((event.request, event.attempt))
         if attempt is not None:
             self.acceptance_reported, attempt.worker.last_heard_ms = True, self.now
 
-    def _late_start(self, attempt: Attempt, number: int, again: bool = False) -> None:
+    def _check_started(self, attempt: Attempt, number: int, again: bool = False) -> None:
         """A job not yet started lies in a queue: the count was wrong. Correct it; move what may repeat."""
         view = attempt.worker
         if not attempt.is_open or attempt.started_ms:
@@ -552,19 +573,19 @@
             and view.estimated_slots > view.peak_running_slots
             and view.is_owned
         ):
-            view.lower_capacity(self.now + MOST_ASIDE_MS)
+            view.lower_capacity(self.now + MAX_EJECTION_MS)
         if not self._may_move(attempt.job):
             return
-        if self._room(attempt.job) is not None:
+        if self._find_worker(attempt.job) is not None:
             self.actions.append(api.Cancel(attempt.job.request.id, number))
         elif self.can_probe_slots:  # perhaps soon
-            self._look(attempt.job)
-            self.timers.call_at(self.now + HOLD_MS, self._late_start, attempt, number, True)
+            self._probe_idle_slots(attempt.job)
+            self.timers.call_at(self.now + QUEUE_POLL_MS, self._check_started, attempt, number, True)
 
-    def _unheard(self, attempt: Attempt, number: int) -> None:
+    def _check_progress(self, attempt: Attempt, number: int) -> None:
         """A started job of which the worker tells nothing, though it tells of jobs: it was lost there, or its
         end was. Give it up: it would hold its slots here until the client's time is over."""
-        view, patience = attempt.worker, MISSED * self.settings.progress
+        view, patience = attempt.worker, MISSED_PROGRESS_INTERVALS * self.settings.progress
         if (
             not attempt.is_open
             or not view.reports_progress
@@ -576,14 +597,16 @@
             and self.now < attempt.last_progress_ms + 2 * patience - 1.0
         ):
             # Nothing of others either: it may stand still for a moment.
-            self.timers.call_at(attempt.last_progress_ms + 2 * patience, self._unheard, attempt, number)
+            self.timers.call_at(
+                attempt.last_progress_ms + 2 * patience, self._check_progress, attempt, number
+            )
             return
         self.actions.append(api.Cancel(attempt.job.request.id, number))
 
-    def _silent(self, attempt: Attempt, number: int) -> None:
+    def _check_heard(self, attempt: Attempt, number: int) -> None:
         """Nothing heard of the worker since it should have taken the job, or ended it: it may hang."""
         if attempt.is_open and attempt.worker.last_heard_ms <= attempt.forwarded_ms:
-            self._strike(attempt.worker, "silent")
+            self._eject(attempt.worker, "silent")
             if self._may_move(attempt.job):
                 self.actions.append(api.Cancel(attempt.job.request.id, number))
 
@@ -596,21 +619,21 @@
             and len(job.attempts) < self.settings.max_attempts - 1
         )
 
-    def _strike(self, view: WorkerState, why: str) -> None:
+    def _eject(self, view: WorkerState, why: str) -> None:
         """Set a failing worker aside, longer each time; a worker that fails fast only looks free."""
         if self.now < view.ejected_until_ms:
             return
         view.ejection_count = min(view.ejection_count + 1, 6)
-        rest = min(SET_ASIDE_MS * 2 ** (view.ejection_count - 1), MOST_ASIDE_MS)
+        rest = min(FIRST_EJECTION_MS * 2 ** (view.ejection_count - 1), MAX_EJECTION_MS)
         view.ejected_until_ms = self.now + rest * self.rng.uniform(0.75, 1.25)
         view.concurrency_limit = 1.0
         self.log_line_count += 1
-        if self.log_line_count <= LOG_LINES:
+        if self.log_line_count <= MAX_LOG_LINES:
             self.actions.append(
                 api.Log(f"worker {view.entry.id} set aside: {why}, strike {view.ejection_count}")
             )
 
-    def _ended(self, event: api.Outcome) -> None:
+    def _on_outcome(self, event: api.Outcome) -> None:
         attempt = self.open_attempts.pop((event.request, event.attempt), None)
         if attempt is None:
             return
@@ -620,22 +643,22 @@
         view.reserved_memory -= job.request.memory
         view.running_slots -= job.request.slots if attempt.started_ms else 0
         attempt.is_open, attempt.never_ran = False, result in api.NEVER_RAN
-        self._report(view, event.report)
+        self._apply_report(view, event.report)
         if result == "ok":
             view.last_heard_ms = self.now
-            self._served(view, job, attempt, full, event.elapsed)
+            self._on_success(view, job, attempt, full, event.elapsed)
         elif result == "full":
             view.last_heard_ms = self.now
             view.foreign_slots, view.last_observed_ms = (
-                (2.0 if self.keyed() else 1.0) * view.estimated_slots,
+                (2.0 if self.places_by_key() else 1.0) * view.estimated_slots,
                 self.now,
             )
             if view.is_owned and full and not view.slots_reported:
-                view.lower_capacity(self.now + MOST_ASIDE_MS)
+                view.lower_capacity(self.now + MAX_EJECTION_MS)
         elif result in ("error", "unreachable", "timeout") or (  # a reset may be a push-out by priority
             result == "reset" and not (self.settings.preempts and job.service_class.effect == "safe")
         ):
-            self._strike(view, result)
+            self._eject(view, result)
         live = job if self.jobs.get(event.request) is job else None
         if live is not None and event.complete:
             self._finish(live, None)
@@ -643,10 +666,10 @@
             # The fault is the request's: no other worker would take it, and none is to be set aside for it.
             self._finish(live, api.Fail(live.request.id))
         elif live is not None and not live.is_queued and not any(each.is_open for each in live.attempts):
-            self._again(live)
-        self._drain()
+            self._retry_or_finish(live)
+        self._dispatch_queued()
 
-    def _served(self, view: WorkerState, job: Job, attempt: Attempt, full: bool, elapsed: float) -> None:
+    def _on_success(self, view: WorkerState, job: Job, attempt: Attempt, full: bool, elapsed: float) -> None:
         took = (
             self.now - attempt.started_ms
             if attempt.started_ms
@@ -655,7 +678,7 @@
         mean = self.mean_service_ms[job.class_index]
         view.relative_service_time += 0.1 * (min(took / mean, 4.0) - view.relative_service_time)
         self.mean_service_ms[job.class_index] = mean + 0.02 * (min(took, 3.0 * mean) - mean)
-        if self.now > view.ejected_until_ms + MOST_ASIDE_MS:
+        if self.now > view.ejected_until_ms + MAX_EJECTION_MS:
             view.ejection_count = 0
         view.ejected_until_ms = min(view.ejected_until_ms, self.now)
         view.concurrency_limit = (
@@ -668,9 +691,9 @@
             and not view.foreign_slots > 0.5
         ):
             view.estimated_slots += 1.0
-            view.capacity_fixed_until_ms = self.now + SET_ASIDE_MS
+            view.capacity_fixed_until_ms = self.now + FIRST_EJECTION_MS
 
-    def _again(self, job: Job) -> None:
+    def _retry_or_finish(self, job: Job) -> None:
         """No attempt is out and the client has no answer: try again where that is allowed, or end it."""
         ran = [each for each in job.attempts if not each.never_ran]
         if (
@@ -678,18 +701,18 @@
             or len(job.attempts) >= self.settings.max_attempts
             or (ran and job.service_class.effect == "unsafe")
         ):
-            self._end(job)
+            self._finish_unserved(job)
         else:
-            self._hold(job)
+            self._enqueue(job)
 
-    def _end(self, job: Job) -> None:
+    def _finish_unserved(self, job: Job) -> None:
         """The answer owed when nothing more can be tried, or time is up."""
         if self.jobs.get(job.request.id) is job:  # and no later one whose client came again under its id
             self._finish(
-                job, api.Reject(job.request.id) if self._may_refuse(job) else api.Fail(job.request.id)
+                job, api.Reject(job.request.id) if self._may_reject(job) else api.Fail(job.request.id)
             )
 
-    def _may_refuse(self, job: Job) -> bool:
+    def _may_reject(self, job: Job) -> bool:
         ran = any(not each.never_ran for each in job.attempts)
         return (
             not ran
@@ -699,7 +722,7 @@
 
     def _finish(self, job: Job, answer: api.Action | None) -> None:
         """The request is over; what is still out for it is called off."""
-        self._unhold(job)
+        self._dequeue(job)
         self.jobs.pop(job.request.id, None)
         self.actions += [answer] if answer is not None else []
         self.actions += [
@@ -708,18 +731,18 @@
             if each.is_open and self.settings.cancel
         ]
 
-    def _left(self, event: api.ClientGone | api.StreamStarted) -> None:
+    def _drop_request(self, event: api.ClientGone | api.StreamStarted) -> None:
         if event.request in self.jobs:
             self._finish(self.jobs[event.request], None)
 
 
 HANDLERS = {
-    api.WorkerList: Scheduler._listed,
-    api.Request: Scheduler._arrive,
-    api.Outcome: Scheduler._ended,
-    api.ProgressReport: Scheduler._note,
-    api.Accepted: Scheduler._accepted,
-    api.ProbeResult: Scheduler._probed,
-    api.ClientGone: Scheduler._left,
-    api.StreamStarted: Scheduler._left,
+    api.WorkerList: Scheduler._on_worker_list,
+    api.Request: Scheduler._on_request,
+    api.Outcome: Scheduler._on_outcome,
+    api.ProgressReport: Scheduler._on_progress,
+    api.Accepted: Scheduler._on_accepted,
+    api.ProbeResult: Scheduler._on_probe_result,
+    api.ClientGone: Scheduler._drop_request,
+    api.StreamStarted: Scheduler._drop_request,
 }
--- a/spanwing/scheduler_state.py
+++ b/spanwing/scheduler_state.py
@@ -10,10 +10,12 @@
 
 from spanwing.interface import Request, ServiceClass, SetTimer, Worker
 
-FIRST_TURN = 17  # of the hashes that deal the workers out
-MEMORY_MS = 400.0  # how long a view of what others hold at a worker lasts: about as long as a job runs
-FRESH_MS = 100.0  # a sight of a worker's idle slots is good for this long
-BURST_S = 2.0  # seconds of unused share that a tenant's later arrivals may use
+FIRST_OWNER_SALT = 17  # of the hashes that deal the workers out
+FOREIGN_LOAD_DECAY_MS = (
+    400.0  # how long a view of what others hold at a worker lasts: about as long as a job runs
+)
+OBSERVATION_FRESH_MS = 100.0  # a sight of a worker's idle slots is good for this long
+BURST_ALLOWANCE_S = 2.0  # seconds of unused share that a tenant's later arrivals may use
 
 
 @dataclass(slots=True, eq=False)
@@ -77,14 +79,14 @@
     def observe_load(self, inflight: float, now: float) -> None:
         """Takes in how many jobs the worker holds; those that are not this node's are others'."""
         others = max(0.0, inflight - self.reserved_slots)
-        self.foreign_slots += (0.3 if now - self.last_observed_ms < MEMORY_MS else 1.0) * (
+        self.foreign_slots += (0.3 if now - self.last_observed_ms < FOREIGN_LOAD_DECAY_MS else 1.0) * (
             others - self.foreign_slots
         )
         self.last_observed_ms = now
 
     def is_fresh(self, now: float) -> bool:
         """Returns whether its idle slots were seen just now."""
-        return now - self.last_observed_ms < FRESH_MS
+        return now - self.last_observed_ms < OBSERVATION_FRESH_MS
 
     def lower_capacity(self, until: float) -> None:
         """Assumes one slot less, and no more until then."""
@@ -99,7 +101,7 @@
         """Returns the node that the id's hash number turn names, among count nodes."""
         while turn >= len(self.candidate_nodes):
             self.candidate_nodes.append(
-                stable_hash(self.entry.id, FIRST_TURN + len(self.candidate_nodes)) % count
+                stable_hash(self.entry.id, FIRST_OWNER_SALT + len(self.candidate_nodes)) % count
             )
         return self.candidate_nodes[turn]
 
@@ -109,13 +111,17 @@
 
     def __init__(self, rate: float, now: float, classes: int) -> None:
         self.quota_per_s, self.earned, self.spent, self.refilled_ms = rate, 0.0, 0.0, now
-        self.burst_allowance = rate  # of its share, unused by arrivals; at most BURST_S seconds' worth
+        self.burst_allowance = (
+            rate  # of its share, unused by arrivals; at most BURST_ALLOWANCE_S seconds' worth
+        )
         self.queues: list[deque[Job]] = [deque() for _ in range(classes)]
 
     def refill(self, now: float) -> None:
         gain = (now - self.refilled_ms) * self.quota_per_s / 1000.0
         self.earned, self.refilled_ms = self.earned + gain, now
-        self.burst_allowance = min(self.burst_allowance + gain, max(1.0, self.quota_per_s * BURST_S))
+        self.burst_allowance = min(
+            self.burst_allowance + gain, max(1.0, self.quota_per_s * BURST_ALLOWANCE_S)
+        )
 
     def count_arrival(self) -> bool:
         """Count an arrival; whether it is within the tenant's share."""
--- a/spanwing/zones/trial_requests.py
+++ b/spanwing/zones/trial_requests.py
@@ -29,7 +29,7 @@
             return None
         for worker in sorted(self.untried_workers):
             view = self.scheduler.worker_states.get(worker)
-            if view is not None and self.scheduler._fits(view, job):
+            if view is not None and self.scheduler._has_room(view, job):
                 self.untried_workers.discard(worker)
                 return view
         return None
--- a/spanwing/zones/unreachable_work.py
+++ b/spanwing/zones/unreachable_work.py
@@ -29,7 +29,7 @@
             and job.service_class.group != "all"
             and all(each.worker.entry.zone == event.zone for each in attempts_maybe_run)
         ):
-            module._end(job)
+            module._finish_unserved(job)
 
 
 HANDLERS[ZoneUnreachable] = _fail_unreachable_work
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -221,7 +221,7 @@
         self.assertEqual(self.core.pool_counts(), (3, 0))
         view = self.core.scheduler.worker_states[1]
         self.core.scheduler.now = self.core.clock.now_ms()
-        self.core.scheduler._strike(view, "error")
+        self.core.scheduler._eject(view, "error")
         self.assertEqual(self.core.pool_counts(), (3, 1))
         self.list(Worker(2), Worker(3, "draining"))  # it left while it rested
         self.assertEqual(self.core.pool_counts(), (2, 0))
