--- a/benchmarks/send_guard_cost.py
+++ b/benchmarks/send_guard_cost.py
@@ -18,7 +18,7 @@
 
 
 async def main() -> None:
-    settings = api.Settings(classes=(api.ServiceClass("read", aim=300, deadline=5000),))
+    settings = api.Settings(classes=(api.ServiceClass("read", latency_objective_ms=300, deadline_ms=5000),))
     manager = RequestManager(settings, 1, Clock())
     freshness = EndpointFreshness(CallTiming(), time.monotonic())
     manager.guard.is_list_stale = lambda: freshness.is_stale(time.monotonic())
--- a/spanwing/core/request_manager.py
+++ b/spanwing/core/request_manager.py
@@ -83,8 +83,8 @@
         super().__init__()
         self.settings, self.clock = settings, clock
         self.scheduler = Scheduler(settings, seed, clock.now_ms())
-        self.safe_classes = {each.name for each in settings.classes if each.effect == "safe"}
-        self.unsafe_classes = {each.name for each in settings.classes if each.effect == "unsafe"}
+        self.safe_classes = {each.name for each in settings.classes if each.idempotency == "safe"}
+        self.unsafe_classes = {each.name for each in settings.classes if each.idempotency == "unsafe"}
         self.recorder: AttemptRecorder | None = None
         self.journal_retry_after_ms = min(JOURNAL_RETRY_AFTER_MS, settings.max_retry_after)
         self.directory: EndpointDirectory | None = None
@@ -219,7 +219,7 @@
         any.
         """
         class_effects = [
-            (each.name, each.effect)
+            (each.name, each.idempotency)
             for module in (*self.retiring_schedulers, self.scheduler)
             for each in module.settings.classes
         ]
@@ -555,9 +555,10 @@
         pending.may_have_run = True
         scheduler = self._scheduler_of(pending.request.id)
         for each in scheduler.settings.classes:
-            if each.name == pending.request.cls and each.effect == "keyed":
+            if each.name == pending.request.cls and each.idempotency == "keyed":
                 pending.send_until_ms = min(
-                    pending.send_until_ms, forwarded_ms + each.window - scheduler.settings.tick
+                    pending.send_until_ms,
+                    forwarded_ms + each.deduplication_window_ms - scheduler.settings.tick,
                 )
 
     def follows_list(self, request: str, number: int) -> bool:
--- a/spanwing/daemon.py
+++ b/spanwing/daemon.py
@@ -494,7 +494,7 @@
 
     def answer_window_s(self) -> float:
         """Returns how many seconds after SIGTERM an answer is certainly in time."""
-        longest_ms = max(each.deadline for each in self.request_manager.settings.classes)
+        longest_ms = max(each.deadline_ms for each in self.request_manager.settings.classes)
         return (min(longest_ms, MAX_DRAIN_DEADLINE_MS) + KILL_MARGIN_MS - ANSWER_MARGIN_MS) / 1000.0
 
     async def wait_until_settled(self) -> None:
--- a/spanwing/frontends/balancers/health_reporter.py
+++ b/spanwing/frontends/balancers/health_reporter.py
@@ -197,7 +197,7 @@
             classes=tuple(
                 ClassLoad(
                     each.name,
-                    each.aim,
+                    each.latency_objective_ms,
                     each.kind,
                     *queued.get(each.name, (0, 0.0)),
                     each.name in needing_store,
--- a/spanwing/frontends/balancers/service.py
+++ b/spanwing/frontends/balancers/service.py
@@ -134,5 +134,5 @@
         if self.parts.faktory_frontend is None or self.drain_watcher is None:
             return frozenset()
         return frozenset(
-            each.name for each in self.parts.request_manager.settings.classes if each.effect == "unsafe"
+            each.name for each in self.parts.request_manager.settings.classes if each.idempotency == "unsafe"
         )
--- a/spanwing/frontends/faktory.py
+++ b/spanwing/frontends/faktory.py
@@ -216,7 +216,7 @@
         Returns the claim, None for a class that needs none, or the answer if the job was claimed before.
         Raises CommandError (BUSY) if the store has no majority.
         """
-        if service_class.effect != "unsafe":
+        if service_class.idempotency != "unsafe":
             return None
         try:
             is_new, claim = await self.claims.claim(job.jid)
@@ -229,7 +229,7 @@
     def build_request(self, job: FaktoryJob, service_class: api.ServiceClass, body: bytes) -> JobRequest:
         """Converts a job to a request; raises CommandError if `custom` is out of range."""
         custom = job.custom or FaktoryCustom()
-        timeout_ms = service_class.deadline if custom.budget_ms is None else custom.budget_ms
+        timeout_ms = service_class.deadline_ms if custom.budget_ms is None else custom.budget_ms
         if custom.slots < 1 or custom.memory < 0 or not timeout_ms >= 0:
             raise CommandError("custom: slots, memory or budget_ms out of range")
         return JobRequest(
@@ -441,7 +441,7 @@
             raise CommandError("going down, try another", "BUSY")
         waits_for_outcome = job.custom is not None and job.custom.answer == "outcome"
         request = self.frontend.build_request(job, service_class, body)
-        if service_class.effect == "unsafe" and (
+        if service_class.idempotency == "unsafe" and (
             interrupted_state := self.frontend.find_interrupted(job.jid)
         ):
             raise CommandError(interrupted_state, "REPEATED")
--- a/spanwing/frontends/platform.py
+++ b/spanwing/frontends/platform.py
@@ -110,7 +110,7 @@
             cls=service_class.name,
             tenant=headers.get("x-caller"),
             budget=min(
-                parse_number(headers.get("x-budget-ms"), "X-Budget-Ms", service_class.deadline),
+                parse_number(headers.get("x-budget-ms"), "X-Budget-Ms", service_class.deadline_ms),
                 MAX_TIMEOUT_MS,
                 max(0.0, self.remaining_ms()),
             ),
--- a/spanwing/interface.py
+++ b/spanwing/interface.py
@@ -1,4 +1,7 @@
-"""Types of the dispatcher: settings in, events in, actions out. All times are milliseconds."""
+"""Types of the decision module: its settings, the events it handles and the actions it returns.
+
+All times are milliseconds on the scheduler's clock.
+"""
 
 from __future__ import annotations
 
@@ -6,29 +9,33 @@
 from dataclasses import dataclass
 from typing import Literal, NamedTuple
 
+#: "safe": idempotent. "keyed": a worker drops a repeat of its idempotency key within the deduplication
+#: window. "unsafe": non-idempotent, so it is not repeated once an attempt may have run.
 Idempotency = Literal["safe", "keyed", "unsafe"]
+#: The workers that share one deduplication window: all, those of one zone, or those of one cell.
 RepeatGroup = Literal["all", "zone", "cell"]
 State = Literal["healthy", "draining", "gone"]
+#: How an attempt or a probe ended. "full": no free slot. "moot": cancelled before it ran. "rejected": the
+#: worker rejects the request itself, which says nothing about the worker.
 Result = Literal["ok", "error", "full", "timeout", "unreachable", "reset", "cancelled", "moot", "rejected"]
 
-#: "rejected": the worker holds the request itself to be bad; it says nothing of the worker.
-#: Results that prove an attempt never ran.
+#: Results that prove that an attempt never ran.
 NEVER_RAN: frozenset[str] = frozenset({"full", "unreachable", "moot"})
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceClass:
-    """What one class of requests is worth, how long it may take and whether it may repeat."""
+    """A class of requests: latency objective, deadline, priority weight and idempotency."""
 
     name: str
-    aim: float
-    deadline: float
-    worth: float = 1.0
-    late_worth: float = 0.0
-    stretch: float = 0.0  # the aim grows by this multiple of the job's own running time
-    effect: Idempotency = "safe"
-    group: RepeatGroup = "all"
-    window: float = 0.0
+    latency_objective_ms: float
+    deadline_ms: float
+    priority_weight: float = 1.0
+    late_weight: float = 0.0  # weight of an answer after the latency objective
+    objective_stretch: float = 0.0  # the objective grows by this multiple of the job's own running time
+    idempotency: Idempotency = "safe"
+    repeat_group: RepeatGroup = "all"
+    deduplication_window_ms: float = 0.0
     streamed: bool = False
     kind: str | None = None  # the only kind of worker that runs it; None: any
     priority: int = 0
@@ -36,14 +43,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant and the rate of requests that its share allows over all nodes, per second."""
+    """A tenant and its quota in requests per second, over all schedulers together."""
 
     name: str
-    rate: float
+    quota_per_s: float
 
 
 class SettingsError(ValueError):
-    """Settings that no decision could honour; its text is the first fault."""
+    """Invalid settings. `faults` lists every fault, the message is the first one."""
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__(faults[0])
@@ -52,51 +59,55 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a node is told at its start. Wrong values raise ValueError naming the setting."""
+    """The settings of one scheduler. Raises SettingsError, which names each setting with a wrong value."""
 
     classes: tuple[ServiceClass, ...]
-    node: int = 0
-    nodes: int = 1
+    node: int = 0  # of this scheduler
+    nodes: int = 1  # schedulers in the fleet
     zone: str = ""
     zones: tuple[str, ...] = ()
     tenants: tuple[Tenant, ...] = ()
-    over_share_worth: float = 1.0  # of a request beyond its tenant's share, as a fraction
-    tick: float = 1.0
-    subscribe: bool = False  # the worker list comes only when asked for
+    over_share_worth: float = 1.0  # of a request beyond its tenant's quota, as a fraction
+    tick: float = 1.0  # resolution of the host's timers
+    subscribe: bool = False  # the worker list is sent only on a Watch
     report_fields: tuple[str, ...] = ()  # of inflight, queue, free_slots, free_memory; others are ignored
-    live_weights: bool = False  # weight is size / (1 + requests held per core)
-    nominal_weights: bool = False  # weight is the registered size
-    tells_start: bool = False
-    progress: float = 0.0  # a worker tells of each running job this often; 0: never
-    preempts: bool = False  # workers queue by priority and may kill a lower running job
-    counts_memory: bool = False
-    cancel: bool = False
-    probes: bool = False
-    peers: bool = False
+    live_weights: bool = False  # a worker's weight is size / (1 + requests in flight per core)
+    nominal_weights: bool = False  # a worker's weight is its registered size
+    tells_start: bool = False  # workers report the start of each job
+    progress: float = 0.0  # workers report each running job this often; 0: never
+    preempts: bool = False  # workers queue by priority and may preempt a running job of lower priority
+    counts_memory: bool = False  # a worker's slots also bound the memory of its jobs
+    cancel: bool = False  # attempts may be cancelled
+    probes: bool = False  # workers may be probed
+    peers: bool = False  # messages to other schedulers are allowed
     max_attempts: int = 1
-    max_retry_after: float = 0.0
-    answer_grace: float = 0.0
-    drain_grace: float = 0.0
-    cold_from: float = 1.0
+    max_retry_after: float = 0.0  # upper bound of Reject.retry_after
+    answer_grace: float = 0.0  # a final answer may come this long after the deadline
+    drain_grace: float = 0.0  # sends to a draining worker must end within this
+    cold_from: float = 1.0  # of its capacity, for a worker that has just started
     cold_ms: float = 0.0
-    fall_multiple: float = 1.0
+    fall_multiple: float = 1.0  # work within fall_ms that a worker bears, times its capacity
     fall_ms: float = 0.0
 
     def __post_init__(self) -> None:
-        """Reject settings that no decision could honour."""
-        if wrong := list(self._wrong()):
-            raise SettingsError(wrong)
+        """Raises SettingsError if a value is out of range."""
+        if faults := list(self._faults()):
+            raise SettingsError(faults)
 
-    def _wrong(self) -> Iterator[str]:
-        """All that is wrong, each naming its setting."""
+    def _faults(self) -> Iterator[str]:
+        """Yields every fault, each as a line that begins with the name of its setting."""
         if not self.classes:
             yield "classes: at least one is needed"
-        yield from _need(self.nodes >= 1, "nodes", self.nodes)
-        yield from _need(0 <= self.node < max(1, self.nodes), "node", self.node)
-        yield from _need(self.max_attempts >= 1, "max_attempts", self.max_attempts)
-        yield from _need(0 < self.cold_from <= 1, "cold_from", self.cold_from)
-        yield from _need(self.fall_multiple > 0, "fall_multiple", self.fall_multiple)
-        yield from _need(self.tick > 0, "tick", self.tick)
+        yield from _check(self.nodes >= 1, "nodes", self.nodes)
+        yield from _check(0 <= self.node < max(1, self.nodes), "node", self.node)
+        yield from _check(self.max_attempts >= 1, "max_attempts", self.max_attempts)
+        yield from _check(
+            0 < self.cold_from <= 1,
+            "cold_from",
+            self.cold_from,
+        )
+        yield from _check(self.fall_multiple > 0, "fall_multiple", self.fall_multiple)
+        yield from _check(self.tick > 0, "tick", self.tick)
         for name in (
             "over_share_worth",
             "max_retry_after",
@@ -106,24 +117,38 @@
             "fall_ms",
             "progress",
         ):
-            yield from _need(getattr(self, name) >= 0, name, getattr(self, name))
-        yield from _need(not self.zones or self.zone in self.zones, "zone", self.zone)
+            yield from _check(getattr(self, name) >= 0, name, getattr(self, name))
+        yield from _check(not self.zones or self.zone in self.zones, "zone", self.zone)
+        # The texts name the fields of classes and tenants as operators know them.
         for each in self.classes:
             where = f"classes[{each.name}]"
-            yield from _need(each.aim > 0, f"{where}.aim", each.aim)
-            yield from _need(each.deadline >= each.aim, f"{where}.deadline", each.deadline)
-            yield from _need(each.effect in ("safe", "keyed", "unsafe"), f"{where}.effect", each.effect)
-            yield from _need(each.group in ("all", "zone", "cell"), f"{where}.group", each.group)
-            for name in ("worth", "late_worth", "stretch", "window"):
-                yield from _need(getattr(each, name) >= 0, f"{where}.{name}", getattr(each, name))
+            yield from _check(each.latency_objective_ms > 0, f"{where}.aim", each.latency_objective_ms)
+            yield from _check(
+                each.deadline_ms >= each.latency_objective_ms, f"{where}.deadline", each.deadline_ms
+            )
+            yield from _check(
+                each.idempotency in ("safe", "keyed", "unsafe"), f"{where}.effect", each.idempotency
+            )
+            yield from _check(
+                each.repeat_group in ("all", "zone", "cell"), f"{where}.group", each.repeat_group
+            )
+            for name, value in (
+                ("worth", each.priority_weight),
+                ("late_worth", each.late_weight),
+                ("stretch", each.objective_stretch),
+                ("window", each.deduplication_window_ms),
+            ):
+                yield from _check(value >= 0, f"{where}.{name}", value)
         for tenant in self.tenants:
-            yield from _need(tenant.rate >= 0, f"tenants[{tenant.name}].rate", tenant.rate)
-        for name, of in (("classes", self.classes), ("tenants", self.tenants)):
-            yield from _need(len({each.name for each in of}) == len(of), name, "a name stands twice")
+            yield from _check(tenant.quota_per_s >= 0, f"tenants[{tenant.name}].rate", tenant.quota_per_s)
+        for name, entries in (("classes", self.classes), ("tenants", self.tenants)):
+            yield from _check(
+                len({each.name for each in entries}) == len(entries), name, "a name stands twice"
+            )
 
 
-def _need(holds: bool, name: str, value: object) -> Iterator[str]:
-    if not holds:
+def _check(is_valid: bool, name: str, value: object) -> Iterator[str]:
+    if not is_valid:
         yield f"{name}: {value!r} is not possible"
 
 
@@ -137,28 +162,28 @@
     weight: float = 1.0
     kind: str = ""
     started: float = 0.0  # clock time of its latest start; 0: long ago
-    feeder: float | None = None  # part of a feeder's share while it is cold; None: by the node's own hash
+    feeder: float | None = None  # share of a feeder's budget while it warms up; None: by its id's hash
 
 
 class WorkerList(NamedTuple):
-    """News from discovery: the whole list, changes only, or a failed call."""
+    """An update from discovery: the whole list, the list kept from an earlier run, changes, or a failure."""
 
     scope: Literal["complete", "partial", "persisted", "error"]
     workers: tuple[Worker, ...] = ()
 
 
 class Request(NamedTuple):
-    """A client's request, which this node must answer once."""
+    """A client's request, which this scheduler must answer exactly once."""
 
     id: str
-    cls: str
-    deadline: float
+    cls: str  # name of its service class
+    deadline: float  # clock time
     tenant: str | None = None
     slots: int = 1
     memory: float = 0.0
-    hint: float = 0.0  # expected running time; 0: not told
-    key: str | None = None
-    repeat: bool = False
+    hint: float = 0.0  # expected running time; 0: unknown
+    key: str | None = None  # sticky key
+    repeat: bool = False  # the client has sent it before
 
 
 class Outcome(NamedTuple):
@@ -168,13 +193,13 @@
     attempt: int
     worker: int
     result: Result
-    complete: bool
+    complete: bool  # the client has its answer
     elapsed: float
-    report: tuple[float, ...] | None = None
+    report: tuple[float, ...] | None = None  # load report, in the order of Settings.report_fields
 
 
 class ProgressReport(NamedTuple):
-    """A word from a worker on a running attempt: it has started, or how far it is."""
+    """A worker's report on a running attempt: it has started, or it is still running."""
 
     request: str
     attempt: int
@@ -183,7 +208,7 @@
 
 
 class Accepted(NamedTuple):
-    """A worker has taken an attempt, which may still wait there; hosts that cannot tell never say so."""
+    """A worker has accepted an attempt, which may still be queued there. Some hosts never send this."""
 
     request: str
     attempt: int
@@ -191,22 +216,22 @@
 
 
 class ProbeResult(NamedTuple):
-    """The answer to a probe, or why there is none."""
+    """How a probe ended."""
 
     worker: int
     result: Result
     elapsed: float
-    report: tuple[float, ...] | None = None
+    report: tuple[float, ...] | None = None  # load report, in the order of Settings.report_fields
 
 
 class ClientGone(NamedTuple):
-    """The client left: nothing is owed any more."""
+    """The client has disconnected; no answer is due any more."""
 
     request: str
 
 
 class StreamStarted(NamedTuple):
-    """The answer of a streamed class has begun and belongs to the client."""
+    """The answer of a streamed class has begun; no other answer may follow."""
 
     request: str
     attempt: int
@@ -214,13 +239,13 @@
 
 
 class TimerDue(NamedTuple):
-    """A timer set earlier has come due."""
+    """A timer set by SetTimer has expired."""
 
     token: int
 
 
 class PeerMessage(NamedTuple):
-    """A short message of another node."""
+    """A short message from another scheduler."""
 
     node: int
     payload: str
@@ -241,48 +266,48 @@
 
 
 class Send(NamedTuple):
-    """Begin an attempt; timeout 0: until the client gives up."""
+    """Forward the request to a worker; attempts are numbered from 0."""
 
     request: str
     worker: int
-    timeout: float = 0.0
+    timeout: float = 0.0  # 0: until the client gives up
 
 
 class Cancel(NamedTuple):
-    """Stop waiting for an attempt."""
+    """Cancel an attempt."""
 
     request: str
     attempt: int
 
 
 class Reject(NamedTuple):
-    """Final answer: not done, trying again is harmless."""
+    """Final answer: the request was not done, and the client may safely repeat it."""
 
     request: str
-    retry_after: float = 0.0
+    retry_after: float = 0.0  # 0: no advice
 
 
 class Fail(NamedTuple):
-    """Final answer: failed, no promise as to its effect."""
+    """Final answer: the request failed; it may or may not have taken effect."""
 
     request: str
 
 
 class SetTimer(NamedTuple):
-    """Ask for a TimerDue."""
+    """Set a timer, which returns as TimerDue after the delay."""
 
     delay: float
     token: int
 
 
 class Probe(NamedTuple):
-    """Ask a worker for its report."""
+    """Ask a worker for its load report."""
 
     worker: int
 
 
 class BroadcastToPeers(NamedTuple):
-    """Send a short message to every other node."""
+    """Send a short message to every other scheduler."""
 
     payload: str
 
@@ -292,7 +317,7 @@
 
 
 class Log(NamedTuple):
-    """A line for the operators."""
+    """Write a log line."""
 
     line: str
 
--- a/spanwing/policy/service.py
+++ b/spanwing/policy/service.py
@@ -318,9 +318,9 @@
         It is the class's window while requests of the class are open.
         """
         return {
-            each.name: each.window
+            each.name: each.deduplication_window_ms
             for each in self.request_manager.settings.classes
-            if each.effect == "keyed"
+            if each.idempotency == "keyed"
             and any(call.request.cls == each.name for call in self.request_manager.pending_requests.values())
         }
 
--- a/spanwing/policy/validation.py
+++ b/spanwing/policy/validation.py
@@ -87,8 +87,8 @@
         if (raw.get("permissions") or {}).get(name) != current_value:
             yield f"permissions.{name}: takes a restart of every scheduler, not a change while serving"
     for tenant in new_settings.tenants:
-        if not tenant.rate > 0:
-            yield f"orgs.{tenant.name}: a share of {tenant.rate:g} would turn away all of its work"
+        if not tenant.quota_per_s > 0:
+            yield f"orgs.{tenant.name}: a share of {tenant.quota_per_s:g} would turn away all of its work"
     needs_mb = (
         len(new_settings.tenants)
         * (TENANT_MEMORY_KB + TENANT_CLASS_MEMORY_KB * len(new_settings.classes))
@@ -118,8 +118,8 @@
                 )
             continue
         compared = (
-            ("effect", old_class.effect, new_class.effect),
-            ("group", old_class.group, new_class.group),
+            ("effect", old_class.idempotency, new_class.idempotency),
+            ("group", old_class.repeat_group, new_class.repeat_group),
             ("kind", old_class.kind, new_class.kind),
         )
         for attribute, old_value, new_value in compared:
@@ -130,11 +130,11 @@
                     "of it are open"
                 )
         window_is_preserved = (
-            new_class.effect == "keyed"
-            and new_class.group == old_class.group
-            and new_class.window >= old_class.window
+            new_class.idempotency == "keyed"
+            and new_class.repeat_group == old_class.repeat_group
+            and new_class.deduplication_window_ms >= old_class.deduplication_window_ms
         )
-        if old_class.effect == "keyed" and remaining_window_ms > 0 and not window_is_preserved:
+        if old_class.idempotency == "keyed" and remaining_window_ms > 0 and not window_is_preserved:
             yield (
                 f"classes.{old_class.name}: keys of it may come again "
                 f"for {remaining_window_ms / 1000:.1f} s, which its "
--- a/spanwing/scheduler.py
+++ b/spanwing/scheduler.py
@@ -57,7 +57,7 @@
         self.class_indexes = {each.name: i for i, each in enumerate(settings.classes)}
         tenants = settings.tenants or (api.Tenant("", 1.0),)
         self.token_accounts: dict[str | None, TokenAccount] = {
-            each.name: TokenAccount(each.rate / settings.nodes, now, len(self.class_indexes))
+            each.name: TokenAccount(each.quota_per_s / settings.nodes, now, len(self.class_indexes))
             for each in tenants
         }
         self.token_accounts[None] = TokenAccount(0.0, now, len(self.class_indexes))  # whoever is on no list
@@ -74,7 +74,7 @@
             * settings.cold_from
             * ASSUMED_SLOTS
             * settings.fall_ms
-            / (2.0 * sum(each.aim for each in settings.classes) / len(settings.classes))
+            / (2.0 * sum(each.latency_objective_ms for each in settings.classes) / len(settings.classes))
         )
         self.feeder_count = max(1, min(settings.nodes, int(ASSUMED_SLOTS), int(jobs)))
         self.worker_states: dict[int, WorkerState] = {}  # workers
@@ -89,7 +89,7 @@
         self.queued_count, self.is_queue_poll_set, self.log_line_count = 0, False, 0
         self.placement_override: Callable[[Job], WorkerState | None] | None = None  # see zones/trial.py
         self.mean_service_ms = [
-            2.0 * each.aim for each in settings.classes
+            2.0 * each.latency_objective_ms for each in settings.classes
         ]  # mean time of a served attempt, by class
         self.start_delay_by_zone = {
             zone: 10.0 if zone == settings.zone else 60.0 for zone in (*settings.zones, "")
@@ -105,7 +105,7 @@
             False,
             True,
         )  # the host tells of taken jobs; cold workers may be fed here
-        self.has_safe_class = any(each.effect == "safe" for each in settings.classes)
+        self.has_safe_class = any(each.idempotency == "safe" for each in settings.classes)
         self.timers = TimerQueue(settings.tick)
         if settings.subscribe:
             self.timers.call_at(now + self.rng.uniform(0, 1000.0), lambda: self.actions.append(api.Watch()))
@@ -279,7 +279,7 @@
             self.timers.call_at(self.now + QUEUE_POLL_MS, self._poll_queues)
         self.queued_count, job.is_queued = self.queued_count + 1, True
         # In turn, an overloaded queue serves all of them just too late: what has waited its aim gives way.
-        spoils = job.arrived_ms + job.service_class.aim
+        spoils = job.arrived_ms + job.service_class.latency_objective_ms
         if job.is_late or spoils <= self.now:
             self._pass_objective(job)
         else:
@@ -301,7 +301,7 @@
         job.is_late |= job.is_queued
         if (
             job.is_queued
-            and (job.service_class.late_worth <= 0 or job.is_over_quota)
+            and (job.service_class.late_weight <= 0 or job.is_over_quota)
             and self._may_reject(job)
         ):
             self._finish(job, api.Reject(job.request.id, self._retry_after(job)))
@@ -354,10 +354,14 @@
 
     def _urgency(self, job: Job) -> float:
         """Worth of a second of work now: what the class is worth, by the chance that it is still in time."""
-        slack = max(0.0, job.service_class.stretch - 1.0) * self.mean_service_ms[job.class_index] + 1.0
-        chance = math.exp(-max(0.0, self.now - job.arrived_ms - job.service_class.aim) / slack)
+        slack = (
+            max(0.0, job.service_class.objective_stretch - 1.0) * self.mean_service_ms[job.class_index] + 1.0
+        )
+        chance = math.exp(
+            -max(0.0, self.now - job.arrived_ms - job.service_class.latency_objective_ms) / slack
+        )
         return (
-            job.service_class.worth
+            job.service_class.priority_weight
             * chance
             / (self.mean_service_ms[job.class_index] * job.request.slots + 1.0)
         )
@@ -385,9 +389,9 @@
             return False
         for each in job.attempts:
             if not each.never_ran and (
-                cls.effect == "unsafe"
+                cls.idempotency == "unsafe"
                 or each.worker is view
-                or (cls.effect == "keyed" and not self._deduplicates(each, cls, entry))
+                or (cls.idempotency == "keyed" and not self._deduplicates(each, cls, entry))
             ):
                 return False
         return self._warm_up_allows(view, job)
@@ -395,10 +399,10 @@
     def _deduplicates(self, ran: Attempt, cls: api.ServiceClass, entry: api.Worker) -> bool:
         """Whether a worker still drops this keyed job as a repeat of an attempt that may have run."""
         first = ran.worker.entry
-        return self.now < ran.forwarded_ms + cls.window - self.settings.tick and (
-            cls.group == "all"
+        return self.now < ran.forwarded_ms + cls.deduplication_window_ms - self.settings.tick and (
+            cls.repeat_group == "all"
             or first.zone == entry.zone
-            and (cls.group == "zone" or first.cell == entry.cell)
+            and (cls.repeat_group == "zone" or first.cell == entry.cell)
         )
 
     def _warm_up_allows(self, view: WorkerState, job: Job) -> bool:
@@ -430,7 +434,7 @@
             and view.reserved_memory + job.request.memory > view.estimated_slots
         ):
             return False
-        if view.concurrency_limit <= 1.0 and self.has_safe_class and job.service_class.effect != "safe":
+        if view.concurrency_limit <= 1.0 and self.has_safe_class and job.service_class.idempotency != "safe":
             return False  # back from a rest, a worker proves itself on a job that may be repeated
         return self._idle_slots(view) + slack >= job.request.slots and self._may_use(view, job)
 
@@ -448,7 +452,7 @@
         # What cannot be called back from a queue goes only where a slot was seen to be idle.
         own, blind = (
             self.owned_workers + self.fed_workers,
-            not self.can_probe_slots or job.service_class.effect != "unsafe" or self.probe_budget < 1.0,
+            not self.can_probe_slots or job.service_class.idempotency != "unsafe" or self.probe_budget < 1.0,
         )
         for view in own if len(own) <= MAX_SCANNED_WORKERS else self.rng.sample(own, MAX_SCANNED_WORKERS):
             known = (
@@ -614,7 +618,7 @@
         """Whether a job may be called back, to be sent elsewhere once that attempt has ended."""
         return (
             self.settings.cancel
-            and job.service_class.effect != "unsafe"
+            and job.service_class.idempotency != "unsafe"
             and job.request.id in self.jobs
             and len(job.attempts) < self.settings.max_attempts - 1
         )
@@ -656,7 +660,7 @@
             if view.is_owned and full and not view.slots_reported:
                 view.lower_capacity(self.now + MAX_EJECTION_MS)
         elif result in ("error", "unreachable", "timeout") or (  # a reset may be a push-out by priority
-            result == "reset" and not (self.settings.preempts and job.service_class.effect == "safe")
+            result == "reset" and not (self.settings.preempts and job.service_class.idempotency == "safe")
         ):
             self._eject(view, result)
         live = job if self.jobs.get(event.request) is job else None
@@ -699,7 +703,7 @@
         if (
             self.now >= job.request.deadline
             or len(job.attempts) >= self.settings.max_attempts
-            or (ran and job.service_class.effect == "unsafe")
+            or (ran and job.service_class.idempotency == "unsafe")
         ):
             self._finish_unserved(job)
         else:
@@ -716,8 +720,8 @@
         ran = any(not each.never_ran for each in job.attempts)
         return (
             not ran
-            or job.service_class.effect == "safe"
-            or (job.service_class.effect == "keyed" and job.service_class.group == "all")
+            or job.service_class.idempotency == "safe"
+            or (job.service_class.idempotency == "keyed" and job.service_class.repeat_group == "all")
         )
 
     def _finish(self, job: Job, answer: api.Action | None) -> None:
--- a/spanwing/simulation/fleet.py
+++ b/spanwing/simulation/fleet.py
@@ -148,13 +148,13 @@
         classes = tuple(
             api.ServiceClass(
                 each.name,
-                aim=each.latency_objective_ms,
-                deadline=each.deadline_ms,
-                worth=each.priority_weight,
-                effect=each.idempotency,
-                late_worth=each.late_weight,
-                stretch=each.objective_stretch,
-                window=each.deduplication_window_ms,
+                latency_objective_ms=each.latency_objective_ms,
+                deadline_ms=each.deadline_ms,
+                priority_weight=each.priority_weight,
+                idempotency=each.idempotency,
+                late_weight=each.late_weight,
+                objective_stretch=each.objective_stretch,
+                deduplication_window_ms=each.deduplication_window_ms,
                 kind=each.worker_kind,
                 priority=each.priority,
             )
--- a/spanwing/simulation/scheduler.py
+++ b/spanwing/simulation/scheduler.py
@@ -244,7 +244,7 @@
                 if request_id in self.decision_module.jobs
                 else None
             )
-            if service_class is not None and service_class.effect == "safe":
+            if service_class is not None and service_class.idempotency == "safe":
                 self._cancel_attempt(request_id, attempt_number, "cancelled")
 
     def _handle_timer(self, token: int) -> None:
--- a/spanwing/zones/unreachable_work.py
+++ b/spanwing/zones/unreachable_work.py
@@ -21,12 +21,12 @@
     if not module.queued_count:
         return
     for job in [
-        each for each in module.jobs.values() if each.is_queued and each.service_class.effect == "keyed"
+        each for each in module.jobs.values() if each.is_queued and each.service_class.idempotency == "keyed"
     ]:
         attempts_maybe_run = [each for each in job.attempts if not each.never_ran]
         if (
             attempts_maybe_run
-            and job.service_class.group != "all"
+            and job.service_class.repeat_group != "all"
             and all(each.worker.entry.zone == event.zone for each in attempts_maybe_run)
         ):
             module._finish_unserved(job)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -24,9 +24,26 @@
 hypothesis_settings.register_profile("same", derandomize=True, database=None, deadline=None)
 hypothesis_settings.load_profile("same")
 
-SAFE = ServiceClass("look", aim=300, deadline=5000, worth=2, stretch=1.5)
-KEYED = ServiceClass("book", aim=300, deadline=5000, worth=8, effect="keyed", window=4000, late_worth=0.5)
-UNSAFE = ServiceClass("bill", aim=300, deadline=5000, worth=3, effect="unsafe", late_worth=0.5)
+SAFE = ServiceClass(
+    "look", latency_objective_ms=300, deadline_ms=5000, priority_weight=2, objective_stretch=1.5
+)
+KEYED = ServiceClass(
+    "book",
+    latency_objective_ms=300,
+    deadline_ms=5000,
+    priority_weight=8,
+    idempotency="keyed",
+    deduplication_window_ms=4000,
+    late_weight=0.5,
+)
+UNSAFE = ServiceClass(
+    "bill",
+    latency_objective_ms=300,
+    deadline_ms=5000,
+    priority_weight=3,
+    idempotency="unsafe",
+    late_weight=0.5,
+)
 
 
 def settings(**changes) -> Settings:
--- a/tests/golden_messages.py
+++ b/tests/golden_messages.py
@@ -394,7 +394,7 @@
 
 
 def _dispatcher() -> Scheduler:
-    cls = api.ServiceClass("schedule-apply", aim=300.0, deadline=5000.0)
+    cls = api.ServiceClass("schedule-apply", latency_objective_ms=300.0, deadline_ms=5000.0)
     told = api.Settings(
         (cls,), zone="galway", zones=("galway", "sligo"), tenants=(api.Tenant("corrib", 2.0),)
     )
@@ -419,7 +419,9 @@
 
 def _job() -> Job:
     request = api.Request("job-1", "schedule-apply", 25000.0)
-    job = Job(request, api.ServiceClass("schedule-apply", aim=300.0, deadline=5000.0), 0, 1.5)
+    job = Job(
+        request, api.ServiceClass("schedule-apply", latency_objective_ms=300.0, deadline_ms=5000.0), 0, 1.5
+    )
     job.attempts.append(
         Attempt(
             job=job,
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -101,7 +101,7 @@
 def test_keyed_is_resent_only_inside_its_window():
     node = Driver(workers=2)
     rid, actions = node.ask("book", wait=9000.0)
-    node.now = KEYED.window + 1.0
+    node.now = KEYED.deduplication_window_ms + 1.0
     after = node.end(rid, 0, sends(actions)[0].worker, "error")
     after += node.run(9100.0)
     assert not sends(after) and after[-1] == Reject(rid)  # group 'all' may be told that a repeat is harmless
@@ -126,7 +126,7 @@
     node = Driver(workers=2)
     rid, actions = node.ask("look")
     hung = sends(actions)[0].worker
-    assert Cancel(rid, 0) in node.run(4 * 2 * SAFE.aim + 100.0)
+    assert Cancel(rid, 0) in node.run(4 * 2 * SAFE.latency_objective_ms + 100.0)
     assert all(each.worker != hung for _ in range(3) for each in sends(node.ask("bill")[1]))
 
 
@@ -266,7 +266,7 @@
 
 def test_a_feeder_has_its_part_of_a_cold_workers_slots_from_the_start():
     """By the worker's warmth each of four had one slot of five, and the fifth stood idle."""
-    short, held = ServiceClass("look", aim=100, deadline=5000), []
+    short, held = ServiceClass("look", latency_objective_ms=100, deadline_ms=5000), []
     for n in range(4):
         node = Driver(
             settings(
@@ -283,7 +283,7 @@
 
 def test_feeders_that_are_all_killed_and_start_again_do_not_push_a_cold_worker_over():
     """A scheduler that starts knows nothing of what it sent a moment ago; seven in ten may be killed."""
-    short, work = ServiceClass("look", aim=100, deadline=5000), 0.0
+    short, work = ServiceClass("look", latency_objective_ms=100, deadline_ms=5000), 0.0
     for life in (40.0, 600.0):
         for n in range(40):
             node = Driver(
@@ -365,7 +365,7 @@
         dict(drain_grace=-1.0),
         dict(tenants=tenants(x=-1.0)),
         dict(zone="c", zones=("a",)),
-        dict(classes=(ServiceClass("x", aim=10, deadline=5),)),
+        dict(classes=(ServiceClass("x", latency_objective_ms=10, deadline_ms=5),)),
         dict(classes=(UNSAFE, UNSAFE)),
     ],
 )
@@ -403,7 +403,7 @@
     busy = fill(node, 4)
     dull, _ = node.ask("look")  # late is worth nothing: refused once it has waited its aim
     old, _ = node.ask("book")
-    assert Reject(dull) in node.run(SAFE.aim + 30.0)
+    assert Reject(dull) in node.run(SAFE.latency_objective_ms + 30.0)
     new, _ = node.ask("book")
     freed = node.end(busy[0][0], 0, 1, "ok") + node.end(busy[1][0], 0, 1, "ok")
     assert [each.request for each in sends(freed)] == [new, old]
--- a/tests/test_policy_sound.py
+++ b/tests/test_policy_sound.py
@@ -52,7 +52,9 @@
         wanted = policy()
         wanted["classes"][0]["aim_ms"] = 500.0
         self.assertEqual(self.says(wanted, open_requests={"status-read": 7}), "")
-        self.assertEqual(parse_policy(json.dumps(wanted), running().settings).classes[0].aim, 500.0)
+        self.assertEqual(
+            parse_policy(json.dumps(wanted), running().settings).classes[0].latency_objective_ms, 500.0
+        )
 
     def test_bad_versions_each_with_its_reason(self) -> None:
         wanted = policy()
--- a/tests/test_rules_random.py
+++ b/tests/test_rules_random.py
@@ -56,9 +56,11 @@
             rid = action.request
             assert rid not in self.answers, "answered twice"
             cls, tries = self.classes[self.reqs[rid].cls], self.tries[rid]
-            if isinstance(action, Reject) and cls.effect != "safe":
+            if isinstance(action, Reject) and cls.idempotency != "safe":
                 ran = [each for each in tries if each["result"] not in PROOF]
-                assert not ran or (cls.effect == "keyed" and cls.group == "all"), "refused what may have run"
+                assert not ran or (cls.idempotency == "keyed" and cls.repeat_group == "all"), (
+                    "refused what may have run"
+                )
             self.answers[rid] = now
         elif isinstance(action, Cancel):
             assert action.attempt < len(self.tries[action.request]), "cancelled what was never sent"
@@ -68,14 +70,14 @@
         assert rid not in self.answers, "sent after its end"
         cls, tries, worker = self.classes[self.reqs[rid].cls], self.tries[rid], self.workers[action.worker]
         maybe = [each for each in tries if each["result"] not in PROOF]
-        if cls.effect == "unsafe":
+        if cls.idempotency == "unsafe":
             assert not maybe, "unsafe sent again"
-        if cls.effect == "keyed":
+        if cls.idempotency == "keyed":
             for each in maybe:
-                assert now < each["at"] + cls.window, "keyed past its window"
+                assert now < each["at"] + cls.deduplication_window_ms, "keyed past its window"
                 first = self.workers[each["worker"]]
-                assert cls.group != "zone" or first.zone == worker.zone, "keyed out of its zone"
-                assert cls.group != "cell" or first.cell == worker.cell, "keyed out of its cell"
+                assert cls.repeat_group != "zone" or first.zone == worker.zone, "keyed out of its zone"
+                assert cls.repeat_group != "cell" or first.cell == worker.cell, "keyed out of its cell"
         assert all(each["result"] for each in tries), "two at once"
         assert len(tries) < self.given.max_attempts, "too many attempts"
         assert now <= self.told.get(action.worker, now) + self.given.drain_grace, "sent to a draining worker"
@@ -89,7 +91,7 @@
 def scenario(seed: int):
     rng = random.Random(seed)
     group = rng.choice(["all", "zone", "cell"])
-    classes = (SAFE, replace(KEYED, group=group), replace(UNSAFE, late_worth=rng.choice([0.0, 0.5])))
+    classes = (SAFE, replace(KEYED, repeat_group=group), replace(UNSAFE, late_weight=rng.choice([0.0, 0.5])))
     given = settings(
         classes=classes,
         zones=("a", "b"),
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -18,9 +18,15 @@
 
 SETTINGS = api.Settings(
     classes=(
-        api.ServiceClass("read", aim=2000, deadline=5000),
-        api.ServiceClass("apply", aim=2000, deadline=5000, effect="unsafe"),
-        api.ServiceClass("push", aim=2000, deadline=5000, effect="keyed", window=1000.0),
+        api.ServiceClass("read", latency_objective_ms=2000, deadline_ms=5000),
+        api.ServiceClass("apply", latency_objective_ms=2000, deadline_ms=5000, idempotency="unsafe"),
+        api.ServiceClass(
+            "push",
+            latency_objective_ms=2000,
+            deadline_ms=5000,
+            idempotency="keyed",
+            deduplication_window_ms=1000.0,
+        ),
     ),
     max_attempts=3,
     cancel=True,
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -430,11 +430,11 @@
     def test_keyed_work_of_a_zone_that_was_left_is_answered_at_once(self) -> None:
         cls = api.ServiceClass(
             "push",
-            aim=300,
-            deadline=5000,
-            effect="keyed",
-            group="zone",
-            window=4000,
+            latency_objective_ms=300,
+            deadline_ms=5000,
+            idempotency="keyed",
+            repeat_group="zone",
+            deduplication_window_ms=4000,
         )
         node = Scheduler(api.Settings(classes=(cls,), max_attempts=5, cancel=True), 1, 0.0)
         node.handle(
