--- a/spanwing/core/request_manager.py
+++ b/spanwing/core/request_manager.py
@@ -558,7 +558,7 @@
             if each.name == pending.request.cls and each.idempotency == "keyed":
                 pending.send_until_ms = min(
                     pending.send_until_ms,
-                    forwarded_ms + each.deduplication_window_ms - scheduler.settings.tick,
+                    forwarded_ms + each.deduplication_window_ms - scheduler.settings.tick_ms,
                 )
 
     def follows_list(self, request: str, number: int) -> bool:
--- a/spanwing/hot_restart/state_transfer.py
+++ b/spanwing/hot_restart/state_transfer.py
@@ -218,14 +218,14 @@
         worker.peak_running_slots = max(worker.peak_running_slots, worker.running_slots)
     elif settings.tells_start:
         scheduler.timers.call_at(
-            attempt.forwarded_ms + 3.0 * start_delay_ms + 2 * settings.tick,
+            attempt.forwarded_ms + 3.0 * start_delay_ms + 2 * settings.tick_ms,
             scheduler._check_started,
             attempt,
             number,
         )
-    if attempt.last_progress_ms and settings.progress > 0 and settings.cancel:
+    if attempt.last_progress_ms and settings.progress_interval_ms > 0 and settings.cancel:
         scheduler.timers.call_at(
-            attempt.last_progress_ms + MISSED_PROGRESS_INTERVALS * settings.progress,
+            attempt.last_progress_ms + MISSED_PROGRESS_INTERVALS * settings.progress_interval_ms,
             scheduler._check_progress,
             attempt,
             number,
--- a/spanwing/interface.py
+++ b/spanwing/interface.py
@@ -62,19 +62,19 @@
     """The settings of one scheduler. Raises SettingsError, which names each setting with a wrong value."""
 
     classes: tuple[ServiceClass, ...]
-    node: int = 0  # of this scheduler
-    nodes: int = 1  # schedulers in the fleet
+    node_index: int = 0  # of this scheduler
+    node_count: int = 1  # schedulers in the fleet
     zone: str = ""
     zones: tuple[str, ...] = ()
     tenants: tuple[Tenant, ...] = ()
-    over_share_worth: float = 1.0  # of a request beyond its tenant's quota, as a fraction
-    tick: float = 1.0  # resolution of the host's timers
+    over_quota_weight: float = 1.0  # of a request beyond its tenant's quota, as a fraction
+    tick_ms: float = 1.0  # resolution of the host's timers
     subscribe: bool = False  # the worker list is sent only on a Watch
     report_fields: tuple[str, ...] = ()  # of inflight, queue, free_slots, free_memory; others are ignored
     live_weights: bool = False  # a worker's weight is size / (1 + requests in flight per core)
     nominal_weights: bool = False  # a worker's weight is its registered size
     tells_start: bool = False  # workers report the start of each job
-    progress: float = 0.0  # workers report each running job this often; 0: never
+    progress_interval_ms: float = 0.0  # workers report each running job this often; 0: never
     preempts: bool = False  # workers queue by priority and may preempt a running job of lower priority
     counts_memory: bool = False  # a worker's slots also bound the memory of its jobs
     cancel: bool = False  # attempts may be cancelled
@@ -84,10 +84,10 @@
     max_retry_after: float = 0.0  # upper bound of Reject.retry_after
     answer_grace: float = 0.0  # a final answer may come this long after the deadline
     drain_grace: float = 0.0  # sends to a draining worker must end within this
-    cold_from: float = 1.0  # of its capacity, for a worker that has just started
-    cold_ms: float = 0.0
-    fall_multiple: float = 1.0  # work within fall_ms that a worker bears, times its capacity
-    fall_ms: float = 0.0
+    slow_start_initial_fraction: float = 1.0  # of its capacity, for a worker that has just started
+    slow_start_ms: float = 0.0
+    overload_multiple: float = 1.0  # work within overload_window_ms that a worker bears, times its capacity
+    overload_window_ms: float = 0.0
 
     def __post_init__(self) -> None:
         """Raises SettingsError if a value is out of range."""
@@ -95,31 +95,32 @@
             raise SettingsError(faults)
 
     def _faults(self) -> Iterator[str]:
-        """Yields every fault, each as a line that begins with the name of its setting."""
+        """Yields every fault, each as a line that begins with the name of its setting.
+
+        The lines reach operators, so they keep the names by which settings have always been reported there:
+        spanwing.settings.SETTING_NAMES maps these to the paths in a settings object.
+        """
         if not self.classes:
             yield "classes: at least one is needed"
-        yield from _check(self.nodes >= 1, "nodes", self.nodes)
-        yield from _check(0 <= self.node < max(1, self.nodes), "node", self.node)
+        yield from _check(self.node_count >= 1, "nodes", self.node_count)
+        yield from _check(0 <= self.node_index < max(1, self.node_count), "node", self.node_index)
         yield from _check(self.max_attempts >= 1, "max_attempts", self.max_attempts)
         yield from _check(
-            0 < self.cold_from <= 1,
-            "cold_from",
-            self.cold_from,
+            0 < self.slow_start_initial_fraction <= 1, "cold_from", self.slow_start_initial_fraction
         )
-        yield from _check(self.fall_multiple > 0, "fall_multiple", self.fall_multiple)
-        yield from _check(self.tick > 0, "tick", self.tick)
-        for name in (
-            "over_share_worth",
-            "max_retry_after",
-            "answer_grace",
-            "drain_grace",
-            "cold_ms",
-            "fall_ms",
-            "progress",
+        yield from _check(self.overload_multiple > 0, "fall_multiple", self.overload_multiple)
+        yield from _check(self.tick_ms > 0, "tick", self.tick_ms)
+        for name, value in (
+            ("over_share_worth", self.over_quota_weight),
+            ("max_retry_after", self.max_retry_after),
+            ("answer_grace", self.answer_grace),
+            ("drain_grace", self.drain_grace),
+            ("cold_ms", self.slow_start_ms),
+            ("fall_ms", self.overload_window_ms),
+            ("progress", self.progress_interval_ms),
         ):
-            yield from _check(getattr(self, name) >= 0, name, getattr(self, name))
+            yield from _check(value >= 0, name, value)
         yield from _check(not self.zones or self.zone in self.zones, "zone", self.zone)
-        # The texts name the fields of classes and tenants as operators know them.
         for each in self.classes:
             where = f"classes[{each.name}]"
             yield from _check(each.latency_objective_ms > 0, f"{where}.aim", each.latency_objective_ms)
@@ -143,7 +144,7 @@
             yield from _check(tenant.quota_per_s >= 0, f"tenants[{tenant.name}].rate", tenant.quota_per_s)
         for name, entries in (("classes", self.classes), ("tenants", self.tenants)):
             yield from _check(
-                len({each.name for each in entries}) == len(entries), name, "a name stands twice"
+                len({each.name for each in entries}) == len(entries), name, "a name occurs more than once"
             )
 
 
--- a/spanwing/policy/service.py
+++ b/spanwing/policy/service.py
@@ -78,7 +78,7 @@
         self.follower = DocumentFollower(
             name,
             own_settings.zone,
-            own_settings.node,
+            own_settings.node_index,
             policy_settings.members,
             buffers,
             lambda: b"[{}]",
--- a/spanwing/policy/validation.py
+++ b/spanwing/policy/validation.py
@@ -56,7 +56,7 @@
 def parse_policy(text: str, own_settings: api.Settings) -> api.Settings:
     """Returns the settings of a scheduler with this position and zone under a policy. Raises ValueError."""
     options = msgspec.json.decode(text, type=PlatformSettings)
-    options.node_index, options.zone = own_settings.node, own_settings.zone
+    options.node_index, options.zone = own_settings.node_index, own_settings.zone
     return scheduler_settings(options)
 
 
--- a/spanwing/scheduler.py
+++ b/spanwing/scheduler.py
@@ -57,7 +57,7 @@
         self.class_indexes = {each.name: i for i, each in enumerate(settings.classes)}
         tenants = settings.tenants or (api.Tenant("", 1.0),)
         self.token_accounts: dict[str | None, TokenAccount] = {
-            each.name: TokenAccount(each.quota_per_s / settings.nodes, now, len(self.class_indexes))
+            each.name: TokenAccount(each.quota_per_s / settings.node_count, now, len(self.class_indexes))
             for each in tenants
         }
         self.token_accounts[None] = TokenAccount(0.0, now, len(self.class_indexes))  # whoever is on no list
@@ -70,13 +70,13 @@
         # budget that holds a job. They are found by the worker's id alone, so that late lists cannot add any.
         jobs = (
             WARM_UP_BUDGET_FRACTION
-            * settings.fall_multiple
-            * settings.cold_from
+            * settings.overload_multiple
+            * settings.slow_start_initial_fraction
             * ASSUMED_SLOTS
-            * settings.fall_ms
+            * settings.overload_window_ms
             / (2.0 * sum(each.latency_objective_ms for each in settings.classes) / len(settings.classes))
         )
-        self.feeder_count = max(1, min(settings.nodes, int(ASSUMED_SLOTS), int(jobs)))
+        self.feeder_count = max(1, min(settings.node_count, int(ASSUMED_SLOTS), int(jobs)))
         self.worker_states: dict[int, WorkerState] = {}  # workers
         self.assigned_kinds: dict[WorkerState, str] = {}  # workers with their kinds, as dealt out last
         self.assignment_order: list[WorkerState] = []  # the same, in the order of the deal
@@ -106,7 +106,7 @@
             True,
         )  # the host tells of taken jobs; cold workers may be fed here
         self.has_safe_class = any(each.idempotency == "safe" for each in settings.classes)
-        self.timers = TimerQueue(settings.tick)
+        self.timers = TimerQueue(settings.tick_ms)
         if settings.subscribe:
             self.timers.call_at(now + self.rng.uniform(0, 1000.0), lambda: self.actions.append(api.Watch()))
 
@@ -154,8 +154,10 @@
         self._dispatch_queued()
 
     def is_feeder(self, worker: int) -> bool:
-        own = stable_hash(worker, self.settings.node), -self.settings.node
-        larger = (node for node in range(self.settings.nodes) if (stable_hash(worker, node), -node) > own)
+        own = stable_hash(worker, self.settings.node_index), -self.settings.node_index
+        larger = (
+            node for node in range(self.settings.node_count) if (stable_hash(worker, node), -node) > own
+        )
         return self.is_feeding_enabled and len(list(islice(larger, self.feeder_count))) < self.feeder_count
 
     def assign_workers(self) -> None:
@@ -170,13 +172,13 @@
                 members,
                 sorted(members, key=WorkerState.assignment_key),
             )
-            count, loads = self.settings.nodes, [0] * self.settings.nodes
+            count, loads = self.settings.node_count, [0] * self.settings.node_count
             for rank, view in enumerate(self.assignment_order):
                 turn, most = 0, rank // count + 1
                 while loads[node := view.candidate_node(turn, count)] >= most:
                     turn += 1
                 loads[node] += 1
-                view.is_owned = node == self.settings.node
+                view.is_owned = node == self.settings.node_index
         for view in self.assignment_order:
             if view.entry.state == "healthy":
                 near = view.entry.zone == self.settings.zone
@@ -223,7 +225,7 @@
         ledger.refill(self.now)
         self.sticky_share += STICKY_SHARE_GAIN * ((req.key is not None) - self.sticky_share)
         self.probe_budget = min(self.probe_budget + PROBES_PER_ARRIVAL, 10.0)
-        job.is_over_quota = self.settings.over_share_worth < 1.0 and not ledger.count_arrival()
+        job.is_over_quota = self.settings.over_quota_weight < 1.0 and not ledger.count_arrival()
         self.timers.call_at(req.deadline, self._finish_unserved, job)
         view = self._place(job) if ledger.earned - ledger.spent > 0 else None
         if view is not None:
@@ -315,7 +317,7 @@
 
     def _retry_after(self, job: Job) -> float:
         """When to come back: once the tenant's share allows one more; within it next tick. 0: no advice."""
-        ledger, wait = self._account_of(job), self.settings.tick
+        ledger, wait = self._account_of(job), self.settings.tick_ms
         if job.is_over_quota:
             wait = max(wait, (1.0 - ledger.burst_allowance) * 1000.0 / max(ledger.quota_per_s, 0.001))
         return min(wait, self.settings.max_retry_after)
@@ -399,7 +401,7 @@
     def _deduplicates(self, ran: Attempt, cls: api.ServiceClass, entry: api.Worker) -> bool:
         """Whether a worker still drops this keyed job as a repeat of an attempt that may have run."""
         first = ran.worker.entry
-        return self.now < ran.forwarded_ms + cls.deduplication_window_ms - self.settings.tick and (
+        return self.now < ran.forwarded_ms + cls.deduplication_window_ms - self.settings.tick_ms and (
             cls.repeat_group == "all"
             or first.zone == entry.zone
             and (cls.repeat_group == "zone" or first.cell == entry.cell)
@@ -411,21 +413,30 @@
         if not self._is_warming_up(view) or not view.feeder_share:
             return not self._is_warming_up(view)
         share = (
-            (s.cold_from + (1.0 - s.cold_from) * max(0.0, age) / s.cold_ms)
+            (
+                s.slow_start_initial_fraction
+                + (1.0 - s.slow_start_initial_fraction) * max(0.0, age) / s.slow_start_ms
+            )
             * view.feeder_share
             / self.feeder_count
         )
-        if view.entry.started < self.started_ms and self.now < self.started_ms + s.fall_ms:
+        if view.entry.started < self.started_ms and self.now < self.started_ms + s.overload_window_ms:
             share /= 2.0  # an earlier life of this node may just have sent all of its part
-        budget = WARM_UP_BUDGET_FRACTION * s.fall_multiple * share * view.estimated_slots * s.fall_ms
-        spent = sum(work for at, work in view.recent_work if at > self.now - s.fall_ms)
+        budget = (
+            WARM_UP_BUDGET_FRACTION
+            * s.overload_multiple
+            * share
+            * view.estimated_slots
+            * s.overload_window_ms
+        )
+        spent = sum(work for at, work in view.recent_work if at > self.now - s.overload_window_ms)
         spent += self.mean_service_ms[job.class_index] * job.request.slots
         return spent <= budget and view.reserved_slots + job.request.slots <= math.ceil(
             view.estimated_slots / self.feeder_count
         )
 
     def _is_warming_up(self, view: WorkerState) -> bool:
-        return view.entry.started > 0 and self.now - view.entry.started < self.settings.cold_ms
+        return view.entry.started > 0 and self.now - view.entry.started < self.settings.slow_start_ms
 
     def _has_room(self, view: WorkerState, job: Job, slack: float = 0.0) -> bool:
         if view.reserved_slots + job.request.slots > min(view.estimated_slots, view.concurrency_limit) or (
@@ -490,7 +501,7 @@
                 for i in range(math.ceil(16 * min(v.max_weight, 8.0)))
             )
         # All nodes send a key to the same workers: each may have its part of the slots there, one at least.
-        most = max(1.0, 1.25 * ASSUMED_SLOTS / self.settings.nodes)
+        most = max(1.0, 1.25 * ASSUMED_SLOTS / self.settings.node_count)
         at, seen = bisect(self.hash_ring, (stable_hash(*job.request.key.encode()), 0)), set()
         for i in range(min(len(self.hash_ring), MAX_SCANNED_WORKERS)):
             worker = self.hash_ring[(at + i) % len(self.hash_ring)][1]
@@ -525,7 +536,7 @@
             self.timers.call_at(self.now + ACCEPTANCE_TIMEOUT_MS, self._check_heard, attempt, number)
         if self.settings.tells_start:
             self.timers.call_at(
-                self.now + 3.0 * quick + 2 * self.settings.tick, self._check_started, attempt, number
+                self.now + 3.0 * quick + 2 * self.settings.tick_ms, self._check_started, attempt, number
             )
 
     def _on_progress(self, note: api.ProgressReport) -> None:
@@ -533,9 +544,9 @@
         if attempt is not None:
             attempt.worker.last_heard_ms = attempt.last_progress_ms = self.now
             attempt.worker.reports_progress |= not note.started
-            if self.settings.progress > 0 and self.settings.cancel:
+            if self.settings.progress_interval_ms > 0 and self.settings.cancel:
                 self.timers.call_at(
-                    self.now + MISSED_PROGRESS_INTERVALS * self.settings.progress,
+                    self.now + MISSED_PROGRESS_INTERVALS * self.settings.progress_interval_ms,
                     self._check_progress,
                     attempt,
                     note.attempt,
@@ -547,7 +558,7 @@
             view.peak_running_slots = max(view.peak_running_slots, view.running_slots)
             took, zone = self.now - attempt.forwarded_ms, view.entry.zone
             quick = self.start_delay_by_zone.get(zone, 10.0)
-            if took < 3 * quick + 2 * self.settings.tick:
+            if took < 3 * quick + 2 * self.settings.tick_ms:
                 self.start_delay_by_zone[zone] = quick + 0.05 * (took - quick)
                 if (
                     view.running_slots == view.reserved_slots
@@ -589,7 +600,7 @@
     def _check_progress(self, attempt: Attempt, number: int) -> None:
         """A started job of which the worker tells nothing, though it tells of jobs: it was lost there, or its
         end was. Give it up: it would hold its slots here until the client's time is over."""
-        view, patience = attempt.worker, MISSED_PROGRESS_INTERVALS * self.settings.progress
+        view, patience = attempt.worker, MISSED_PROGRESS_INTERVALS * self.settings.progress_interval_ms
         if (
             not attempt.is_open
             or not view.reports_progress
@@ -597,7 +608,7 @@
         ):
             return
         if (
-            view.last_heard_ms < attempt.last_progress_ms + self.settings.progress
+            view.last_heard_ms < attempt.last_progress_ms + self.settings.progress_interval_ms
             and self.now < attempt.last_progress_ms + 2 * patience - 1.0
         ):
             # Nothing of others either: it may stand still for a moment.
--- a/spanwing/settings.py
+++ b/spanwing/settings.py
@@ -85,8 +85,8 @@
     poll_interval_ms: float = msgspec.field(default=10000.0, name="ask_every_ms")
     slow_start_initial_fraction: float = msgspec.field(default=1.0, name="cold_from")
     slow_start_ms: float = msgspec.field(default=0.0, name="cold_ms")
-    fall_multiple: float = 1.0
-    fall_ms: float = 0.0
+    overload_multiple: float = msgspec.field(default=1.0, name="fall_multiple")
+    overload_window_ms: float = msgspec.field(default=0.0, name="fall_ms")
 
 
 class SpecificSettings(msgspec.Struct):
@@ -166,19 +166,19 @@
             _service_class(each, index, specifics, options.kinds or [])
             for index, each in enumerate(options.classes)
         ),
-        node=options.node_index,
-        nodes=options.node_count,
+        node_index=options.node_index,
+        node_count=options.node_count,
         zone=options.zone or "",
         zones=tuple(options.zones or ()),
         tenants=tuple(api.Tenant(each.name, each.quota_per_s) for each in options.tenants or ()),
-        over_share_worth=options.over_quota_weight,
-        tick=options.tick_ms,
+        over_quota_weight=options.over_quota_weight,
+        tick_ms=options.tick_ms,
         subscribe=options.discovery == "subscribe",
         report_fields=load_report_fields(options),
         live_weights=options.weight_source == "live",
         nominal_weights=options.weight_source in ("nominal", "rough"),
         tells_start=specifics.tells_start,
-        progress=specifics.progress_ms,
+        progress_interval_ms=specifics.progress_ms,
         preempts=specifics.queue_order == "priority",
         counts_memory=specifics.memory_unit is not None,
         cancel=permissions.cancel,
@@ -188,8 +188,8 @@
         max_retry_after=(permissions.max_retry_after_ms or 0.0) if permissions.retry_after else 0.0,
         answer_grace=rules.answer_grace_ms,
         drain_grace=rules.drain_grace_ms,
-        cold_from=rules.slow_start_initial_fraction,
-        cold_ms=rules.slow_start_ms,
-        fall_multiple=rules.fall_multiple,
-        fall_ms=rules.fall_ms,
+        slow_start_initial_fraction=rules.slow_start_initial_fraction,
+        slow_start_ms=rules.slow_start_ms,
+        overload_multiple=rules.overload_multiple,
+        overload_window_ms=rules.overload_window_ms,
     )
--- a/spanwing/simulation/fleet.py
+++ b/spanwing/simulation/fleet.py
@@ -166,8 +166,8 @@
         tenants = tuple(api.Tenant(each.name, each.quota) for each in self.plan.tenants if each.quota < 1e9)
         return api.Settings(
             classes=classes,
-            node=scheduler_index,
-            nodes=len(self.plan.schedulers),
+            node_index=scheduler_index,
+            node_count=len(self.plan.schedulers),
             zone=zone,
             zones=all_zones,
             cancel=True,
@@ -175,19 +175,19 @@
             max_retry_after=2000.0,
             answer_grace=16.0,
             tells_start=True,
-            tick=4.0,
+            tick_ms=4.0,
             tenants=tenants,
-            over_share_worth=0.1 if tenants else 1.0,
+            over_quota_weight=0.1 if tenants else 1.0,
             probes=True,
             report_fields=("latency", "queue", "free_slots", "free_memory"),
             preempts=any(each.preempts for each in worker_specs),
-            cold_from=min((each.initial_capacity for each in warming_specs), default=1.0),
-            cold_ms=max((each.slow_start_ms for each in warming_specs), default=0.0),
-            fall_multiple=min(
+            slow_start_initial_fraction=min((each.initial_capacity for each in warming_specs), default=1.0),
+            slow_start_ms=max((each.slow_start_ms for each in warming_specs), default=0.0),
+            overload_multiple=min(
                 (each.overload_multiple for each in warming_specs if each.overload_multiple < 1e9),
                 default=1.0,
             ),
-            fall_ms=max((each.overload_window_ms for each in warming_specs), default=0.0),
+            overload_window_ms=max((each.overload_window_ms for each in warming_specs), default=0.0),
         )
 
     def run(self, day_end_ms: float) -> None:
--- a/spanwing/simulation/zone_fleet.py
+++ b/spanwing/simulation/zone_fleet.py
@@ -52,17 +52,21 @@
     def __init__(self, simulation: LeaderFleet, scheduler: SimulatedScheduler, incarnation: int) -> None:
         self.simulation, self.scheduler, self.event_queue = simulation, scheduler, simulation.event_queue
         settings = scheduler.settings
-        self.session_id, self.position = f"{scheduler.name}.{incarnation}", settings.node
+        self.session_id, self.position = f"{scheduler.name}.{incarnation}", settings.node_index
         self.random_source = random.Random(scheduler.seed)
         rules = RoutingRules(
             self.session_id,
             scheduler.zone,
-            settings.cold_ms,
-            settings.fall_ms,
+            settings.slow_start_ms,
+            settings.overload_window_ms,
             scheduler.decision_module.feeder_count,
         )
         self.zone_agent = ZoneAgent(
-            rules, settings.node, settings.nodes, scheduler.decision_module.is_feeder, self.random_source
+            rules,
+            settings.node_index,
+            settings.node_count,
+            scheduler.decision_module.is_feeder,
+            self.random_source,
         )
         self.lease, self.document = Lease(), Document()
         self.last_renewal_number = self.last_answered_renewal = 0
@@ -223,7 +227,11 @@
     def __init__(self, simulation: StandaloneFleet, scheduler: SimulatedScheduler, incarnation: int) -> None:
         settings = scheduler.settings
         limits = ZoneLimits(
-            settings.fall_ms + MAX_TRANSIT_MS, settings.cold_ms, 1, simulation.regions, is_sampled=True
+            settings.overload_window_ms + MAX_TRANSIT_MS,
+            settings.slow_start_ms,
+            1,
+            simulation.regions,
+            is_sampled=True,
         )
         controller = ZoneController(
             limits,
@@ -242,7 +250,7 @@
         self.lease = self.standalone.lease
 
     def _listed_workers(self) -> dict[str, list[ListedWorker]]:
-        return listed_workers(self.zone_agent, self.event_queue.now_ms, self.scheduler.settings.cold_ms)
+        return listed_workers(self.zone_agent, self.event_queue.now_ms, self.scheduler.settings.slow_start_ms)
 
     def _send_renewal(self) -> None:
         if not self.scheduler.is_up:
@@ -360,7 +368,12 @@
 
     def _make_controller(self, scheduler: SimulatedScheduler) -> ZoneController:
         settings, name = scheduler.settings, scheduler.name
-        limits = ZoneLimits(settings.fall_ms + MAX_TRANSIT_MS, settings.cold_ms, settings.nodes, self.regions)
+        limits = ZoneLimits(
+            settings.overload_window_ms + MAX_TRANSIT_MS,
+            settings.slow_start_ms,
+            settings.node_count,
+            self.regions,
+        )
         return ZoneController(
             limits,
             lambda: self._listed_workers(name),
@@ -416,7 +429,7 @@
     def _listed_workers(self, name: str) -> dict[str, list[ListedWorker]]:
         follower = self.followers[name]
         return listed_workers(
-            follower.zone_agent, self.event_queue.now_ms, follower.scheduler.settings.cold_ms
+            follower.zone_agent, self.event_queue.now_ms, follower.scheduler.settings.slow_start_ms
         )
 
     def forward_renewal(self, follower: SimulatedFollower, renewal: Renew, evidence_bytes: int) -> None:
--- a/spanwing/zones/service.py
+++ b/spanwing/zones/service.py
@@ -158,7 +158,7 @@
             self.follower = DocumentFollower(
                 name,
                 settings.zone,
-                settings.node,
+                settings.node_index,
                 zone_settings.members,
                 buffers,
                 self._collect_evidence,
@@ -176,15 +176,15 @@
         rules = RoutingRules(
             self.follower.session,
             settings.zone,
-            settings.cold_ms,
-            settings.fall_ms,
+            settings.slow_start_ms,
+            settings.overload_window_ms,
             request_manager.scheduler.feeder_count,
             not zone_settings.members,
         )
         self.agent = ZoneAgent(
             rules,
-            settings.node,
-            settings.nodes,
+            settings.node_index,
+            settings.node_count,
             lambda worker: request_manager.scheduler.is_feeder(worker),
             self.random_source,
         )
@@ -204,9 +204,9 @@
     def _create_controller(self, author: str) -> ZoneController:
         settings, has_members = self.request_manager.settings, bool(self.zone_settings.members)
         limits = ZoneLimits(
-            settings.fall_ms + MAX_TRANSIT_MS,
-            settings.cold_ms,
-            settings.nodes if has_members else 1,
+            settings.overload_window_ms + MAX_TRANSIT_MS,
+            settings.slow_start_ms,
+            settings.node_count if has_members else 1,
             self.zone_settings.regions,
             settings.probes,
             not has_members,
@@ -298,8 +298,8 @@
     def _handle_policy_change(self, settings: api.Settings) -> None:
         """Applies another policy: the slow start of workers and their feeders."""
         rules = self.agent.rules._replace(
-            cold_ms=settings.cold_ms,
-            fall_ms=settings.fall_ms,
+            cold_ms=settings.slow_start_ms,
+            fall_ms=settings.overload_window_ms,
             feeders=self.request_manager.scheduler.feeder_count,
         )
         self.agent.rules = self.agent.routing_filter.rules = rules
@@ -371,7 +371,7 @@
     def _list_workers(self) -> dict[str, list[ListedWorker]]:
         """Returns this process's endpoint list by zone, for the controller."""
         found: dict[str, list[ListedWorker]] = {}
-        now, cold_ms = self.request_manager.clock.now_ms(), self.request_manager.settings.cold_ms
+        now, cold_ms = self.request_manager.clock.now_ms(), self.request_manager.settings.slow_start_ms
         for each in self.agent.routing_filter.workers.values():
             is_warming_up = each.started > 0 and now < each.started + cold_ms
             found.setdefault(each.zone, []).append(ListedWorker(each.id, each.started, is_warming_up))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -54,10 +54,10 @@
         max_attempts=5,
         answer_grace=16.0,
         drain_grace=500.0,
-        cold_from=0.2,
-        cold_ms=10000.0,
-        fall_multiple=3.0,
-        fall_ms=1000.0,
+        slow_start_initial_fraction=0.2,
+        slow_start_ms=10000.0,
+        overload_multiple=3.0,
+        overload_window_ms=1000.0,
     )
     return Settings(**{**base, **changes})
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -66,7 +66,7 @@
 
 
 def test_over_share_arrivals_wait_behind_those_within():
-    node = Driver(settings(tenants=tenants(x=1.0, y=1.0), over_share_worth=0.05), workers=1)
+    node = Driver(settings(tenants=tenants(x=1.0, y=1.0), over_quota_weight=0.05), workers=1)
     busy = fill(node, 4, tenant="x")  # all of x's share and more
     over, _ = node.ask("look", tenant="x")
     within, _ = node.ask("look", tenant="y")
@@ -193,7 +193,7 @@
 
 def test_beyond_home_a_job_goes_only_where_a_slot_was_seen_to_be_idle():
     """Forty nodes that take the same slot for idle by a guess fill each other's homes."""
-    node = Driver(settings(nodes=40, node=7, **PROBED), workers=60)
+    node = Driver(settings(node_count=40, node_index=7, **PROBED), workers=60)
     home = {view.entry.id for view in node.node.owned_workers}
     out = [each for _ in range(20) for each in node.ask("look")[1]]
     assert {each.worker for each in sends(out)} == home
@@ -219,7 +219,7 @@
 
 
 def test_probes_are_no_more_than_one_a_request_however_long_jobs_wait():
-    node = Driver(settings(nodes=40, **PROBED), workers=60)
+    node = Driver(settings(node_count=40, **PROBED), workers=60)
     out = []
     for _ in range(100):
         out += node.ask("look")[1] + node.run(node.now + 50.0)
@@ -229,7 +229,7 @@
 def test_workers_are_dealt_out_evenly_and_a_change_moves_few():
     """A shift of all ranks by one gave every node another's workers, with all that they held uncounted."""
     names, nodes = range(1000, 1060), 40
-    made = [Driver(settings(nodes=nodes, node=n)) for n in range(nodes)]
+    made = [Driver(settings(node_count=nodes, node_index=n)) for n in range(nodes)]
     for node in made:
         node.feed(WorkerList("complete", tuple(Worker(n) for n in names)))
     before = [{view.entry.id for view in node.node.owned_workers} for node in made]
@@ -255,7 +255,15 @@
     for worker in range(30 if nodes < 400 else 8):
         work = 0.0
         for n in range(dead, nodes):
-            node = Driver(settings(nodes=nodes, node=n, cold_from=0.3, cold_ms=8600.0, fall_ms=3000.0))
+            node = Driver(
+                settings(
+                    node_count=nodes,
+                    node_index=n,
+                    slow_start_initial_fraction=0.3,
+                    slow_start_ms=8600.0,
+                    overload_window_ms=3000.0,
+                )
+            )
             node.now = 10.0 + 37.0 * (n % 20)
             node.feed(WorkerList("complete", (Worker(1000 + worker, started=10.0),)))
             work += sum(600.0 * len(sends(node.ask("look")[1])) for _ in range(10))
@@ -270,7 +278,13 @@
     for n in range(4):
         node = Driver(
             settings(
-                classes=(short,), nodes=4, node=n, cold_from=0.3, cold_ms=8600.0, fall_ms=3000.0, **PROBED
+                classes=(short,),
+                node_count=4,
+                node_index=n,
+                slow_start_initial_fraction=0.3,
+                slow_start_ms=8600.0,
+                overload_window_ms=3000.0,
+                **PROBED,
             ),
             workers=1,
         )
@@ -287,7 +301,14 @@
     for life in (40.0, 600.0):
         for n in range(40):
             node = Driver(
-                settings(classes=(short,), nodes=40, node=n, cold_from=0.3, cold_ms=8600.0, fall_ms=3000.0)
+                settings(
+                    classes=(short,),
+                    node_count=40,
+                    node_index=n,
+                    slow_start_initial_fraction=0.3,
+                    slow_start_ms=8600.0,
+                    overload_window_ms=3000.0,
+                )
             )
             node.now = life
             node.node.__init__(node.node.settings, n, life)
@@ -327,7 +348,7 @@
 
 
 def test_memory_stays_bounded_and_work_does_not_grow_with_the_fleet():
-    node = Driver(settings(nodes=50), workers=1000)
+    node = Driver(settings(node_count=50), workers=1000)
     assert len(node.node.owned_workers) == 20
     for _ in range(300):
         rid, actions = node.ask("look")
@@ -348,29 +369,29 @@
     """Each node sees little; a key's worker must still be the same for all."""
     picks = set()
     for n in range(6):
-        node = Driver(settings(nodes=6, node=n), workers=30, seed=n)
+        node = Driver(settings(node_count=6, node_index=n), workers=30, seed=n)
         picks |= {each.worker for each in sends(node.ask("look", key="series/7")[1])}
     assert len(picks) == 1
 
 
 @pytest.mark.parametrize(
-    "change",
+    "name, change",
     [
-        dict(classes=()),
-        dict(nodes=0),
-        dict(node=5),
-        dict(max_attempts=0),
-        dict(cold_from=0.0),
-        dict(tick=0.0),
-        dict(drain_grace=-1.0),
-        dict(tenants=tenants(x=-1.0)),
-        dict(zone="c", zones=("a",)),
-        dict(classes=(ServiceClass("x", latency_objective_ms=10, deadline_ms=5),)),
-        dict(classes=(UNSAFE, UNSAFE)),
+        ("classes", dict(classes=())),
+        ("nodes", dict(node_count=0)),
+        ("node", dict(node_index=5)),
+        ("max_attempts", dict(max_attempts=0)),
+        ("cold_from", dict(slow_start_initial_fraction=0.0)),
+        ("tick", dict(tick_ms=0.0)),
+        ("drain_grace", dict(drain_grace=-1.0)),
+        ("tenants", dict(tenants=tenants(x=-1.0))),
+        ("zone", dict(zone="c", zones=("a",))),
+        ("classes", dict(classes=(ServiceClass("x", latency_objective_ms=10, deadline_ms=5),))),
+        ("classes", dict(classes=(UNSAFE, UNSAFE))),
     ],
 )
-def test_wrong_settings_name_the_setting(change):
-    with pytest.raises(ValueError, match=next(iter(change))):
+def test_wrong_settings_name_the_setting(name, change):
+    with pytest.raises(ValueError, match=name):
         settings(**change)
 
 
--- a/tests/test_rules_random.py
+++ b/tests/test_rules_random.py
@@ -96,7 +96,7 @@
         classes=classes,
         zones=("a", "b"),
         zone="a",
-        nodes=rng.choice([1, 2, 6]),
+        node_count=rng.choice([1, 2, 6]),
         tenants=rng.choice([(), tenants(x=20.0, y=5.0)]),
         tells_start=rng.random() < 0.5,
         cancel=rng.random() < 0.7,
@@ -219,10 +219,10 @@
 
 def cold_work(nodes: int) -> float:
     """Work sent by all nodes to one cold worker within the rule's window, as a multiple of its capacity."""
-    given = [settings(nodes=nodes, node=n, tenants=tenants(x=1000.0)) for n in range(nodes)]
+    given = [settings(node_count=nodes, node_index=n, tenants=tenants(x=1000.0)) for n in range(nodes)]
     sent = []
     for one in given:
-        node = Driver(one, seed=one.node)
+        node = Driver(one, seed=one.node_index)
         node.feed(WorkerList("persisted", tuple(Worker(n) for n in range(1, 4))))
         node.now = 50.0
         node.feed(WorkerList("partial", (Worker(9, started=50.0),)))
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -199,7 +199,7 @@
     WORKERS = tuple(api.Worker(number, zone=zone) for number, zone in enumerate("aabbcc", 1))
 
     def scheduler(self, zone: str, node: int, **changes) -> tuple[ZoneAgent, Driver]:
-        driver = Driver(settings(zone=zone, node=node, nodes=3, **changes))
+        driver = Driver(settings(zone=zone, node_index=node, node_count=3, **changes))
         driver.feed(api.WorkerList("complete", self.WORKERS))
         rules = RoutingRules(f"s{node}.1", zone, 2000.0, 1000.0, 2)
         local = ZoneAgent(rules, node, 3, driver.node.is_feeder, random.Random(node))
