--- a/spanwing/interface.py
+++ b/spanwing/interface.py
@@ -163,7 +163,7 @@
     weight: float = 1.0
     kind: str = ""
     started: float = 0.0  # clock time of its latest start; 0: long ago
-    feeder: float | None = None  # share of a feeder's budget while it warms up; None: by its id's hash
+    feeder_share: float | None = None  # share of a feeder's budget while it warms up; None: by its id's hash
 
 
 class WorkerList(NamedTuple):
--- a/spanwing/scheduler.py
+++ b/spanwing/scheduler.py
@@ -132,11 +132,11 @@
             if view is None:
                 changed, total = True, self.slots_by_kind.get(entry.kind, ASSUMED_SLOTS)
                 view = self.worker_states[entry.id] = WorkerState(entry, 0.0, total)
-            elif view.entry == entry and entry.feeder is None and not self.settings.live_weights:
+            elif view.entry == entry and entry.feeder_share is None and not self.settings.live_weights:
                 continue
             changed |= view.entry._replace(weight=entry.weight) != entry
-            if entry.feeder is not None:
-                view.feeder_share, view.is_feeder_known = entry.feeder, True
+            if entry.feeder_share is not None:
+                view.feeder_share, view.is_feeder_known = entry.feeder_share, True
             elif entry.started > 0 and not view.is_feeder_known:  # nobody feeds a warm worker
                 view.feeder_share, view.is_feeder_known = self.is_feeder(entry.id), True
             if entry.started > view.entry.started:  # a new life: what was known of the old one is void
--- a/spanwing/zones/routing_filter.py
+++ b/spanwing/zones/routing_filter.py
@@ -221,7 +221,7 @@
                     if now < worker_routing.full_budget_from_ms
                     else 1.0
                 )
-            found.append(each._replace(feeder=feeder_share, started=worker_routing.started_at_ms))
+            found.append(each._replace(feeder_share=feeder_share, started=worker_routing.started_at_ms))
         return tuple(found)
 
     def next_change_ms(self, now: float) -> float:
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -255,7 +255,7 @@
     def test_a_cold_worker_gets_no_job_on_trial_beyond_its_feeders(self) -> None:
         _, driver = self.scheduler("a", 0)
         away = next(each for each in driver.node.remote_workers if not each.feeder_share)
-        driver.feed(api.WorkerList("partial", (away.entry._replace(started=1.0, feeder=0.0),)))
+        driver.feed(api.WorkerList("partial", (away.entry._replace(started=1.0, feeder_share=0.0),)))
         trial.start_trials(driver.node, [away.entry.id], driver.now)
         self.assertNotEqual(sends(driver.ask()[1])[0].worker, away.entry.id)
 
@@ -376,7 +376,7 @@
         self.assertEqual(self.used(gate, lease=False), {1})
         for now, part in ((0.0, 0.5), (5499.0, 0.5), (5500.0, 1.0)):
             seen = gate.filter_workers(gate.workers.values(), now, True, lambda _: False)
-            self.assertEqual({each.id for each in seen if each.feeder == part}, mine)
+            self.assertEqual({each.id for each in seen if each.feeder_share == part}, mine)
 
     def test_who_is_dealt_anew_waits_and_who_stays_goes_on(self) -> None:
         deal = FeederAssignment(1, ["s2", "s3", "s4"], [], True)
