--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A driver for one dispatcher: feed events, look at actions."""
+"""Shared by the tests: a driver for one scheduler, which feeds it events and collects its actions."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 )
 from spanwing.scheduler import Scheduler
 
-# The same verdict every time: the examples are those of a fixed seed, and none is kept between runs.
+# Reproducible results: examples come from a fixed seed, and none is kept between runs.
 hypothesis_settings.register_profile("same", derandomize=True, database=None, deadline=None)
 hypothesis_settings.load_profile("same")
 
@@ -47,7 +47,7 @@
 
 
 def settings(**changes) -> Settings:
-    """Settings of one node with the three kinds of class; changes by name."""
+    """Returns the settings of one scheduler with a class of each idempotency; changes by name."""
     base = dict(
         classes=(SAFE, KEYED, UNSAFE),
         cancel=True,
@@ -63,24 +63,25 @@
 
 
 class Driver:
-    """One dispatcher with its clock and its timers."""
+    """One scheduler with its clock and its timers."""
 
     def __init__(self, given: Settings | None = None, workers: int = 0, seed: int = 1) -> None:
-        self.now, self.due, self.count = 0.0, [], 0
+        self.now, self.timers, self.count = 0.0, [], 0
         self.tried: dict[str, int] = {}
-        self.seen: list[Action] = []
-        self.node = Scheduler(given or settings(), seed, self.now)
+        self.actions: list[Action] = []
+        self.scheduler = Scheduler(given or settings(), seed, self.now)
         if workers:
             self.feed(WorkerList("persisted", tuple(Worker(n + 1) for n in range(workers))))
 
     def feed(self, event: Event) -> list[Action]:
-        actions = self.node.handle(self.now, event)
-        self.seen += actions
-        self.due += [(self.now + each.delay, each.token) for each in actions if isinstance(each, SetTimer)]
+        """Handles an event; returns its actions without timers, which run() fires."""
+        actions = self.scheduler.handle(self.now, event)
+        self.actions += actions
+        self.timers += [(self.now + each.delay, each.token) for each in actions if isinstance(each, SetTimer)]
         return [each for each in actions if not isinstance(each, SetTimer)]
 
     def ask(self, cls: str = "look", wait: float = 5000.0, **more) -> tuple[str, list[Action]]:
-        """A new request; returns its id and the actions."""
+        """Submits a request with its deadline in `wait` ms; returns its id and the actions."""
         self.count += 1
         rid = f"r{self.count}"
         return rid, self.feed(Request(rid, cls, self.now + wait, **more))
@@ -88,22 +89,24 @@
     def end(
         self, rid: str, attempt: int, worker: int, result: str, complete: bool | None = None, report=None
     ):
+        """Ends an attempt; returns the actions."""
         complete = result == "ok" if complete is None else complete
         return self.feed(Outcome(rid, attempt, worker, result, complete, 100.0, report))
 
     def run(self, until: float) -> list[Action]:
-        """Let time pass; timers fire when due."""
-        out: list[Action] = []
-        while self.due and min(self.due)[0] <= until:
-            when, token = min(self.due)
-            self.due.remove((when, token))
+        """Advances the clock and fires the timers that are due; returns the actions."""
+        actions: list[Action] = []
+        while self.timers and min(self.timers)[0] <= until:
+            when, token = min(self.timers)
+            self.timers.remove((when, token))
             self.now = max(self.now, when)
-            out += self.feed(TimerDue(token))
+            actions += self.feed(TimerDue(token))
         self.now = max(self.now, until)
-        return out
+        return actions
 
 
 def tenants(**rates: float) -> tuple[Tenant, ...]:
+    """Returns tenants by name with their quotas per second."""
     return tuple(Tenant(name, rate) for name, rate in rates.items())
 
 
--- a/tests/test_rules_random.py
+++ b/tests/test_rules_random.py
@@ -198,7 +198,7 @@
             now = node.now
             node = Driver(given, seed=seed + 1)
             node.now = now
-            node.node.__init__(given, seed + 1, now)
+            node.scheduler.__init__(given, seed + 1, now)
             feed(WorkerList("persisted", tuple(workers.values())))
             check.listed(now, WorkerList("complete", tuple(workers.values())))
     for action in node.run(node.now + 6000.0):
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -252,12 +252,12 @@
             sent.append(sum(isinstance(each, Send) for each in old.ask()[1]))
         first = sum(sent)
         self.assertGreater(first, 0)
-        stop_feeding(old.node)
-        import_scheduler(new.node, export_scheduler(old.node, 1, "x"), new.now)
-        import_worker(new.node.worker_states[1], export_worker(old.node.worker_states[1]), new.now)
+        stop_feeding(old.scheduler)
+        import_scheduler(new.scheduler, export_scheduler(old.scheduler, 1, "x"), new.now)
+        import_worker(new.scheduler.worker_states[1], export_worker(old.scheduler.worker_states[1]), new.now)
         new.now = old.now = 600.0
         # As other jobs end there the slots are free again, but the budget of the window is spent.
-        new.node.worker_states[1].foreign_slots = 0.0
+        new.scheduler.worker_states[1].foreign_slots = 0.0
         again = sum(isinstance(each, Send) for _ in range(20) for each in new.ask()[1])
         late = sum(isinstance(each, Send) for _ in range(20) for each in old.ask()[1])
         alone = Driver()
@@ -278,23 +278,27 @@
         old, new = Driver(workers=3), Driver(workers=3)
         rid, actions = old.ask("bill")
         worker = actions[0].worker
-        job = old.node.jobs[rid]
+        job = old.scheduler.jobs[rid]
         told = export_attempts(job)
-        release_request(old.node, rid)
+        release_request(old.scheduler, rid)
         self.assertEqual(
-            (old.node.worker_states[worker].reserved_slots, old.node.jobs, old.node.open_attempts),
+            (
+                old.scheduler.worker_states[worker].reserved_slots,
+                old.scheduler.jobs,
+                old.scheduler.open_attempts,
+            ),
             (0, {}, {}),
         )
         actions = new.feed(
             RequestResumed(api.Request(rid, "bill", 5000.0), job.arrived_ms, False, False, told)
         )
         self.assertEqual(actions, [])  # an attempt is out: nothing is sent
-        self.assertEqual(new.node.worker_states[worker].reserved_slots, 1)
+        self.assertEqual(new.scheduler.worker_states[worker].reserved_slots, 1)
         # Its end is the old one's no more, and answers at the new one: what must not run twice goes no more.
         self.assertEqual(old.feed(Outcome(rid, 0, worker, "ok", True, 1.0)), [])
         self.assertEqual(new.end(rid, 0, worker, "reset")[-1], api.Fail(rid))
-        self.assertNotIn(api.Send, {type(each) for each in new.seen})
-        self.assertEqual(new.node.worker_states[worker].reserved_slots, 0)
+        self.assertNotIn(api.Send, {type(each) for each in new.actions})
+        self.assertEqual(new.scheduler.worker_states[worker].reserved_slots, 0)
 
     def test_a_held_request_goes_over_and_is_sent_there(self) -> None:
         from spanwing import interface as api
@@ -302,10 +306,10 @@
 
         old, new = Driver(), Driver(workers=1)
         rid, _ = old.ask()
-        job = old.node.jobs[rid]
+        job = old.scheduler.jobs[rid]
         told = export_attempts(job)
-        release_request(old.node, rid)
-        self.assertEqual(old.node.queued_count, 0)
+        release_request(old.scheduler, rid)
+        self.assertEqual(old.scheduler.queued_count, 0)
         actions = new.feed(
             RequestResumed(api.Request(rid, "look", 5000.0), job.arrived_ms, False, False, told)
         )
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -202,7 +202,7 @@
         driver = Driver(settings(zone=zone, node_index=node, node_count=3, **changes))
         driver.feed(api.WorkerList("complete", self.WORKERS))
         rules = RoutingRules(f"s{node}.1", zone, 2000.0, 1000.0, 2)
-        local = ZoneAgent(rules, node, 3, driver.node.is_feeder, random.Random(node))
+        local = ZoneAgent(rules, node, 3, driver.scheduler.is_feeder, random.Random(node))
         local.filter_workers(api.WorkerList("complete", self.WORKERS), 0.0, 0.0, True)
         return local, driver
 
@@ -210,7 +210,7 @@
         """The keeper asks, and every worker answers probes; jobs fail in this zone alone."""
         for worker in local.choose_workers_to_probe((zone,)):
             local.probe_finished(driver.now, worker, "ok")
-        trial.start_trials(driver.node, local.tries(driver.now, (zone,)), driver.now)
+        trial.start_trials(driver.scheduler, local.tries(driver.now, (zone,)), driver.now)
         rid, actions = driver.ask()
         worker = sends(actions)[0].worker
         local.attempt_sent(driver.now, worker, (rid, 0))
@@ -246,17 +246,17 @@
         ):
             with self.subTest(cls=cls, max_attempts=max_attempts, after=after):
                 _, driver = self.scheduler("a", 0, max_attempts=max_attempts)
-                away = next(each.entry.id for each in driver.node.remote_workers)
-                trial.start_trials(driver.node, [away], driver.now)
+                away = next(each.entry.id for each in driver.scheduler.remote_workers)
+                trial.start_trials(driver.scheduler, [away], driver.now)
                 driver.run(after)
                 sent = [each.worker for _ in range(2) for each in sends(driver.ask(cls)[1])]
                 self.assertEqual(sent.count(away), int(tried), sent)
 
     def test_a_cold_worker_gets_no_job_on_trial_beyond_its_feeders(self) -> None:
         _, driver = self.scheduler("a", 0)
-        away = next(each for each in driver.node.remote_workers if not each.feeder_share)
+        away = next(each for each in driver.scheduler.remote_workers if not each.feeder_share)
         driver.feed(api.WorkerList("partial", (away.entry._replace(started=1.0, feeder_share=0.0),)))
-        trial.start_trials(driver.node, [away.entry.id], driver.now)
+        trial.start_trials(driver.scheduler, [away.entry.id], driver.now)
         self.assertNotEqual(sends(driver.ask()[1])[0].worker, away.entry.id)
 
 
