--- a/spanwing/__init__.py
+++ b/spanwing/__init__.py
@@ -1,1 +1,1 @@
-"""spanwing: a scheduler that dispatches jobs to workers."""
+"""spanwing: a scheduler that forwards jobs to workers."""
--- a/spanwing/actor.py
+++ b/spanwing/actor.py
@@ -1,4 +1,4 @@
-"""Actors: each has a mailbox, handles one message at a time and shares no state."""
+"""Actors on the event loop: each has a mailbox, handles one message at a time and shares no state."""
 
 from __future__ import annotations
 
@@ -13,15 +13,13 @@
 
 
 def spawn_task(coroutine: Coroutine[Any, Any, None]) -> None:
-    """Runs a coroutine on its own. An exception from it is a fault of the program: it is logged, never
-    swallowed.
-    """
+    """Runs a coroutine on the current event loop without waiting for it; logs an exception from it."""
 
     async def run_guarded() -> None:
         try:
             await coroutine
-        except Exception:  # one connection's fault must not end the others
-            logger.exception("fault in %s", coroutine)
+        except Exception:  # a fault in one connection must not end the others
+            logger.exception("fault in the task %s", coroutine)
 
     IOLoop.current().spawn_callback(run_guarded)
 
@@ -35,8 +33,9 @@
         self.is_scheduled = False
 
     def post(self, message: object) -> None:
-        """Queues a message in the mailbox, which has no bound. Nothing waits on an empty mailbox, so an
-        actor without references is simply collected.
+        """Appends a message to the mailbox, which is unbounded.
+
+        No task waits on an empty mailbox, so an actor without references is garbage-collected.
         """
         self.mailbox.append(message)
         if not self.is_scheduled:
@@ -49,13 +48,14 @@
                 message = self.mailbox.popleft()
                 try:
                     self.handle_message(message)
-                except Exception:  # later messages still need their answers
-                    logger.exception("fault on %s", type(message).__name__)
+                except Exception:  # the senders of later messages still need answers
+                    logger.exception(
+                        "fault in the handling of a %s message; the actor goes on with the next one",
+                        type(message).__name__,
+                    )
         finally:
             self.is_scheduled = False
 
     def handle_message(self, message: Any) -> None:
-        """Handles one message; subclasses implement it. An exception is logged, and the next message
-        follows.
-        """
+        """Handles one message; implemented by subclasses. An exception is logged."""
         raise NotImplementedError
--- a/spanwing/adapter.py
+++ b/spanwing/adapter.py
@@ -1,5 +1,7 @@
-"""The simulator's protocol on standard input and output: one Dispatcher for each node, and no decision
-here.
+"""The simulator's protocol on standard input and output, with one Scheduler for each node.
+
+Each line is a JSON array that begins with the name of a message. A batch is Sync with the clock, messages
+and Go; it is answered by the actions of its messages and Eor. All decisions are the decision module's.
 """
 
 from __future__ import annotations
@@ -39,7 +41,7 @@
 
 
 class FrameError(Exception):
-    """The input breaks the framing."""
+    """An input line that is no message, or is out of place."""
 
 
 def _decode_report(values: list[float] | None) -> tuple[float, ...] | None:
@@ -126,30 +128,30 @@
     "Submit": _decode_submit,
     "Returned": _decode_returned,
     "Pong": _decode_pong,
-    "Datagram": lambda _, source, payload="", *rest: api.PeerMessage(source, payload),
+    "Datagram": lambda _, node, payload="", *rest: api.PeerMessage(node, payload),
     "Wakeup": lambda _, token, *rest: api.TimerDue(token),
-    "AckFirst": lambda _, rid, trial, worker, *rest: api.StreamStarted(rid, trial, worker),
-    "ClientLeft": lambda _, rid, *rest: api.ClientGone(rid),
-    "StatusNote": lambda _, rid, trial, worker, topic, *rest: api.ProgressReport(
-        rid, trial, worker, topic == 1
+    "AckFirst": lambda _, request_id, attempt, worker, *rest: api.StreamStarted(request_id, attempt, worker),
+    "ClientLeft": lambda _, request_id, *rest: api.ClientGone(request_id),
+    "StatusNote": lambda _, request_id, attempt, worker, topic, *rest: api.ProgressReport(
+        request_id, attempt, worker, topic == 1
     ),
 }
 
 ACTION_ENCODERS: dict[type, Callable[[str, Any], list]] = {
-    api.Send: lambda node, a: ["CallOut", node, a.request, a.worker, a.timeout],
-    api.Cancel: lambda node, a: ["CallOff", node, a.request, a.attempt],
-    api.Reject: lambda node, a: ["Deny", node, a.request, a.retry_after],
-    api.Fail: lambda node, a: ["EndFailed", node, a.request],
-    api.SetTimer: lambda node, a: ["SetTimer", node, a.delay, a.token],
-    api.Probe: lambda node, a: ["Poll", node, a.worker],
-    api.BroadcastToPeers: lambda node, a: ["WritePeer", node, "all", a.payload],
-    api.Watch: lambda node, a: ["Observe", node, True],
-    api.Log: lambda node, a: ["Record", node, a.line],
+    api.Send: lambda node, action: ["CallOut", node, action.request, action.worker, action.timeout],
+    api.Cancel: lambda node, action: ["CallOff", node, action.request, action.attempt],
+    api.Reject: lambda node, action: ["Deny", node, action.request, action.retry_after],
+    api.Fail: lambda node, action: ["EndFailed", node, action.request],
+    api.SetTimer: lambda node, action: ["SetTimer", node, action.delay, action.token],
+    api.Probe: lambda node, action: ["Poll", node, action.worker],
+    api.BroadcastToPeers: lambda node, action: ["WritePeer", node, "all", action.payload],
+    api.Watch: lambda node, action: ["Observe", node, True],
+    api.Log: lambda node, action: ["Record", node, action.line],
 }
 
 
 class AdapterSession:
-    """The nodes hosted by this process, and the batch being read."""
+    """The schedulers of the nodes hosted by this process, and the batch being read."""
 
     def __init__(self) -> None:
         self.schedulers: dict[str, Scheduler] = {}
@@ -157,22 +159,23 @@
         self.reply_lines: list[bytes] = []
 
     def handle_line(self, line: bytes) -> bytes | None:
-        """Handles one input line; returns the whole reply at the end of a batch, else None. Raises
-        FrameError if the line breaks the framing.
+        """Handles one input line; returns the whole reply at the end of a batch, else None.
+
+        Raises FrameError if the line is no message, is malformed, or is out of place.
         """
         try:
             message = msgspec.json.decode(line)
             name = message[0]
         except (ValueError, LookupError, TypeError):
-            raise FrameError("not a JSON array with a name") from None
+            raise FrameError("the line is not a JSON array that begins with the name of a message") from None
         if name == "Sync":
             if self.now_ms is not None:
-                raise FrameError("Sync inside a batch")
+                raise FrameError("Sync within a batch: Go is missing")
             if len(message) < 2 or not isinstance(message[1], (int, float)):
-                raise FrameError("Sync without a clock")
+                raise FrameError("malformed Sync: no numeric clock value")
             self.now_ms, self.reply_lines = message[1], []
         elif self.now_ms is None:
-            raise FrameError(f"{name} outside a batch")
+            raise FrameError(f"{name} outside a batch: Sync is missing")
         elif name == "Go":
             reply, self.now_ms = self.reply_lines, None
             return b"\n".join([*reply, b'["Eor"]', b""])
@@ -202,14 +205,14 @@
             if scheduler is not None:
                 self._run_guarded(message[1], lambda: scheduler.handle(self.now_ms, event))
         elif name in ("CrashNow", "Init"):
-            raise FrameError(f"malformed {name}: too short")
+            raise FrameError(f"malformed {name}: too few fields")
 
     def _run_guarded(self, node_name: str, decide: Callable[[], list[api.Action] | None]) -> None:
-        """Runs a decision; a fault in it is reported as Die with its text, never swallowed."""
+        """Runs decide() and encodes its actions; an exception is reported as Die with its text."""
         try:
             for action in decide() or ():
                 self.reply_lines.append(msgspec.json.encode(ACTION_ENCODERS[type(action)](node_name, action)))
-        except Exception as error:  # reported to the simulator, with the traceback on stderr
+        except Exception as error:  # a fault of one node must not end the others
             traceback.print_exc(file=sys.stderr)
             self.reply_lines.append(
                 msgspec.json.encode(["Die", node_name, f"{type(error).__name__}: {error}"])
@@ -217,7 +220,10 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> int:
-    """Serves the protocol until the input ends; returns the exit status: 0, or 2 after a FrameError."""
+    """Serves the protocol until the input ends.
+
+    Returns the exit status: 0, or 2 after a FrameError, which is printed to stderr with its line number.
+    """
     session = AdapterSession()
     for number, line in enumerate(source, 1):
         if not line.strip():
--- a/spanwing/interface.py
+++ b/spanwing/interface.py
@@ -97,8 +97,8 @@
     def _faults(self) -> Iterator[str]:
         """Yields every fault, each as a line that begins with the name of its setting.
 
-        The lines reach operators, so they keep the names by which settings have always been reported there:
-        spanwing.settings.SETTING_NAMES maps these to the paths in a settings object.
+        The lines reach operators, and their names of settings do not follow the fields here. SETTING_NAMES in
+        spanwing/settings.py maps them to paths in a settings object.
         """
         if not self.classes:
             yield "classes: at least one is needed"
--- a/spanwing/settings.py
+++ b/spanwing/settings.py
@@ -1,7 +1,7 @@
-"""The settings object, which the simulator sends in its first message and the daemon reads from its
-configuration.
+"""The settings object as it is written, and its translation to the settings of the decision module.
 
-Times are in ms where a name says so.
+The simulator sends it in its first message, the daemon reads it from its configuration. Fields keep their
+written names by msgspec.field(name=...). Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -12,11 +12,12 @@
 
 from spanwing import interface as api
 
+#: The decision module's names of load report fields that are written otherwise.
 FIELD_NAMES = {"rif": "inflight", "q": "queue"}
+#: The same for the fields x0 and x1, by the text that describes them.
 EXTRA_FIELD_NAMES = {"free slots": "free_slots", "free memory": "free_memory"}
 
-
-#: By the scheduler's name of a setting, its name in the settings object where that differs.
+#: Paths in a settings object, by the names in the texts of SettingsError, where the two differ.
 SETTING_NAMES = {
     "nodes": "balancers",
     "node": "position",
@@ -58,14 +59,14 @@
 
 
 class ReportSettings(msgspec.Struct):
-    """The fields of the workers' load reports; via "off" means that there are none."""
+    """The fields of the workers' load reports; with via "off" there are no reports."""
 
     fields: list[str] | None = None
     via: str = ""
 
 
 class PermissionSettings(msgspec.Struct):
-    """What the scheduler may do, and the limits on connections to workers."""
+    """What the scheduler may do, and the timeouts of connections to workers."""
 
     cancel: bool = False
     probes: bool = False
@@ -78,7 +79,7 @@
 
 
 class RuleSettings(msgspec.Struct):
-    """The rules of the platform: grace times, polling, slow start and recovery."""
+    """The rules of the platform: grace times, polling, and the limits of workers that warm up."""
 
     answer_grace_ms: float = msgspec.field(default=0.0, name="grace_to_answer_ms")
     drain_grace_ms: float = msgspec.field(default=0.0, name="stop_sending_within_ms")
@@ -90,7 +91,7 @@
 
 
 class SpecificSettings(msgspec.Struct):
-    """Settings by position of the class, and details of queues and load reports."""
+    """Settings of classes by their position, and what workers' queues and reports are like."""
 
     class_kind: list[int] = []
     class_priority: list[int] = []
@@ -104,7 +105,7 @@
 
 
 class PlatformSettings(msgspec.Struct):
-    """The settings in use; unknown keys are ignored, missing ones have the documented default."""
+    """A whole settings object; unknown keys are ignored."""
 
     classes: list[ClassSettings]
     node_index: int = msgspec.field(default=0, name="position")
@@ -147,7 +148,7 @@
 
 
 def load_report_fields(options: PlatformSettings) -> tuple[str, ...]:
-    """Returns the names of a load report's values, as the scheduler names them."""
+    """Returns the names of a load report's values in order, as the decision module names them."""
     report, specifics = options.report or ReportSettings(), options.specifics or SpecificSettings()
     extra_texts = {"x0": specifics.report_x0, "x1": specifics.report_x1}
     extra_names = {name: EXTRA_FIELD_NAMES.get(text or "", name) for name, text in extra_texts.items()}
@@ -156,9 +157,7 @@
 
 
 def scheduler_settings(options: PlatformSettings) -> api.Settings:
-    """Translates the settings for the scheduler; raises SettingsError (a ValueError) that names a value no
-    decision could honour.
-    """
+    """Returns the settings of the decision module. Raises SettingsError if a value is out of range."""
     specifics = options.specifics or SpecificSettings()
     permissions, rules = options.permissions or PermissionSettings(), options.rules or RuleSettings()
     return api.Settings(
