--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -1,9 +1,11 @@
-"""What one event costs the decision module: time and peak memory over fixed streams of events.
+"""Measures the time per event and the peak memory of the decision module over fixed streams of events.
 
-The streams are drawn as in tests/test_decision_digests.py. Events are recorded first; then the module alone
-gets them again, so that the little world around it is not measured. Time: the least of some rounds, in one
-process. Memory: the peak of what the module allocated over a stream, by tracemalloc, in a round of its own.
-To compare two builds run both in turns and compare pairs.
+The streams are those of tests/test_decision_digests.py. Their events are recorded first and then replayed
+to the module alone, so that the models of clients and workers are not measured. Time: the minimum of several
+rounds in one process. Memory: the peak of the module's allocations over a stream, by tracemalloc, in a
+separate round.
+
+To compare two builds, run them alternately and compare the pairs.
 
     .venv/bin/python -m benchmarks.decision_cost --rounds 5
 """
@@ -20,61 +22,62 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
 
-from test_decision_digests import Node, Stream  # noqa: E402
+from test_decision_digests import EventStream, SchedulerUnderTest  # noqa: E402
 
 STREAMS = (("plain", 1), ("probes", 2), ("starts", 3), ("tenants", 4), ("keys", 5), ("large", 6), ("long", 0))
-EVENTS = 4000
+EVENTS_PER_STREAM = 4000
 
 
 class Recorder:
-    """Stands between a stream's world and its node, and keeps the events."""
+    """Passes a stream's events to its scheduler and records them."""
 
-    def __init__(self, node: Node) -> None:
-        self.node, self.events = node, []
+    def __init__(self, scheduler: SchedulerUnderTest) -> None:
+        self.scheduler, self.events = scheduler, []
 
-    def take(self, now: float, word: str, values: tuple) -> list[tuple]:
+    def handle(self, now: float, word: str, values: tuple) -> list[tuple]:
         self.events.append((now, word, values))
-        return self.node.take(now, word, values)
+        return self.scheduler.handle(now, word, values)
 
 
-def recorded(family: str, seed: int) -> tuple[dict, float, list[tuple]]:
-    """The settings, the clock at the start and the events of a stream."""
-    stream = Stream(family, seed, EVENTS)
-    begin, stream.node = stream.now, Recorder(stream.node)
+def record_stream(family: str, seed: int) -> tuple[dict, float, list[tuple]]:
+    """Returns the settings, the clock at the start and the events of a stream."""
+    stream = EventStream(family, seed, EVENTS_PER_STREAM)
+    start_ms, stream.scheduler = stream.now, Recorder(stream.scheduler)
     stream.run()
-    return stream.options, begin, stream.node.events
+    return stream.options, start_ms, stream.scheduler.events
 
 
-def replay(node: Node, events: list[tuple]) -> float:
-    """Seconds for all events, with the driver's own few steps about each."""
-    take, begun = node.take, time.perf_counter()
+def replay(scheduler: SchedulerUnderTest, events: list[tuple]) -> float:
+    """Returns the seconds that all events take, with the conversion of each event and its actions."""
+    handle, started_s = scheduler.handle, time.perf_counter()
     for now, word, values in events:
-        take(now, word, values)
-    return time.perf_counter() - begun
+        handle(now, word, values)
+    return time.perf_counter() - started_s
 
 
 @click.command()
 @click.option("--rounds", default=5, show_default=True)
 def main(rounds: int) -> None:
-    total, count = 0.0, 0
+    """Measures the decision module over each stream."""
+    total_s, count = 0.0, 0
     for family, seed in STREAMS:
-        options, begin, events = recorded(family, seed)
-        least = float("inf")
+        options, start_ms, events = record_stream(family, seed)
+        least_s = float("inf")
         for _ in range(rounds):
             gc.collect()
-            least = min(least, replay(Node(options, seed, begin), events))
+            least_s = min(least_s, replay(SchedulerUnderTest(options, seed, start_ms), events))
         gc.collect()
         tracemalloc.start()
-        node = Node(options, seed, begin)
-        replay(node, events)
-        _, peak = tracemalloc.get_traced_memory()
+        scheduler = SchedulerUnderTest(options, seed, start_ms)
+        replay(scheduler, events)
+        _, peak_bytes = tracemalloc.get_traced_memory()
         tracemalloc.stop()
-        total, count = total + least, count + len(events)
+        total_s, count = total_s + least_s, count + len(events)
         click.echo(
-            f"{family}-{seed}: {1e6 * least / len(events):.2f} us an event, "
-            f"peak {peak / 1024:.0f} KiB, {len(events)} events"
+            f"{family}-{seed}: {1e6 * least_s / len(events):.2f} us an event, "
+            f"peak {peak_bytes / 1024:.0f} KiB, {len(events)} events"
         )
-    click.echo(f"all: {1e6 * total / count:.2f} us an event")
+    click.echo(f"all: {1e6 * total_s / count:.2f} us an event")
 
 
 if __name__ == "__main__":
--- a/tests/test_decision_digests.py
+++ b/tests/test_decision_digests.py
@@ -1,9 +1,9 @@
-"""Digests of the actions of the decision module over seeded streams of events, against a recorded file.
+"""Digests of the decision module's actions over seeded streams of events, compared with recorded ones.
 
-A change of names or of files must leave every digest as it is; a change of any decision, or of the order of
-random draws, must not pass unseen. Names of the program stand in the first block alone; streams and digests
-are in words of their own. Floats are written in full, so another libm or another version of Python's random
-module may need a new recording (from the same commit, before the change).
+They guard against any change of a decision or of the order of random draws; a renaming changes none of them.
+Only the first block uses identifiers of the program: the streams and the digested text do not depend on them.
+Floats are digested with all digits, so another libm or another version of Python's random module may need a
+new recording, made from the commit before the change.
 
     .venv/bin/python tests/test_decision_digests.py --write     # by hand; the test never writes
 """
@@ -20,7 +20,7 @@
 if __name__ == "__main__":
     sys.path.insert(0, str(Path(__file__).parent.parent))
 
-# -- names of the program: all of them, and nowhere else in this file
+# -- all identifiers of the program that this file uses
 import msgspec
 
 from spanwing import interface as api
@@ -58,21 +58,21 @@
     return api.Worker(*values)
 
 
-class Node:
-    """The module under test: options and events in plain words, actions as tuples of a word and values."""
+class SchedulerUnderTest:
+    """A scheduler with events and actions as plain words and values, independent of the program's types."""
 
     def __init__(self, options: dict, seed: int, now: float) -> None:
-        self.module = Scheduler(scheduler_settings(msgspec.convert(options, PlatformSettings)), seed, now)
+        self.scheduler = Scheduler(scheduler_settings(msgspec.convert(options, PlatformSettings)), seed, now)
 
-    def take(self, now: float, word: str, values: tuple) -> list[tuple]:
-        return [(WORDS[type(each)], *each) for each in self.module.handle(now, EVENTS[word](*values))]
+    def handle(self, now: float, word: str, values: tuple) -> list[tuple]:
+        return [(WORDS[type(each)], *each) for each in self.scheduler.handle(now, EVENTS[word](*values))]
 
 
-# -- nothing below names anything of the program
+# -- no identifiers of the program below
 
 GOLDEN = Path(__file__).parent / "golden" / "decisions.json"
-EVENTS_EACH, SEEDS_EACH = 400, 20
-LONG = {"long": (4000, 3)}  # events and seeds of further families
+EVENTS_PER_STREAM, STREAMS_PER_FAMILY = 400, 20
+LONG = {"long": (4000, 3)}  # further families: events per stream, streams
 FAMILIES = (
     "plain",
     "reports",
@@ -94,7 +94,7 @@
 
 
 def drawn_options(rng: Random, family: str) -> dict:
-    """The settings of one stream, as the simulator's first message gives them."""
+    """Returns the settings object of one stream."""
     nodes, scale = rng.choice([1, 1, 2, 3, 6, 30]), rng.choice([20.0, 60.0, 200.0])
     if family == "cold":
         nodes = rng.choice([1, 2, 3, 4])
@@ -175,8 +175,8 @@
     }
 
 
-class Machine:
-    """A job worker of the stream's little world."""
+class WorkerModel:
+    """A worker, as the stream models it."""
 
     def __init__(self, rng: Random, id: int, started: float) -> None:
         self.id, self.state, self.zone, self.cell = id, "healthy", rng.choice("aabc"), rng.randrange(3)
@@ -185,75 +185,75 @@
             rng.choice(["k0", "k1"]),
             started,
         )
-        self.feeder: float | None = None
+        self.feeder_share: float | None = None
         self.slots, self.speed, self.mode = rng.choice([1, 2, 4, 8]), rng.choice([0.5, 1.0, 3.0]), "well"
         self.running = 0
 
     def entry(self) -> object:
         return worker_entry(
-            self.id, self.state, self.zone, self.cell, self.weight, self.kind, self.started, self.feeder
+            self.id, self.state, self.zone, self.cell, self.weight, self.kind, self.started, self.feeder_share
         )
 
 
-class Stream:
-    """One node of the program in a small world drawn from one seed; all of its actions go into a digest."""
+class EventStream:
+    """One scheduler among modelled clients and workers drawn from one seed; digests all of its actions."""
 
-    def __init__(self, family: str, seed: int, events: int = EVENTS_EACH) -> None:
-        self.rng, self.family, self.left = Random(f"{family} {seed}"), family, events
+    def __init__(self, family: str, seed: int, events: int = EVENTS_PER_STREAM) -> None:
+        self.rng, self.family, self.events_left = Random(f"{family} {seed}"), family, events
         self.options = drawn_options(self.rng, family)
         self.digest, self.now, self.count = hashlib.sha256(), self.rng.choice([0.0, 1e5]), 0
-        self.agenda: list[tuple] = []
-        self.machines = {n: Machine(self.rng, n, 0.0) for n in range(1, self.rng.choice([2, 5, 9, 14]))}
-        for each in self.machines.values() if family == "cold" and self.now else ():
-            each.started = self.rng.choice([0.0, self.now - 40.0])  # just before the node
+        self.scheduled: list[tuple] = []
+        self.workers = {n: WorkerModel(self.rng, n, 0.0) for n in range(1, self.rng.choice([2, 5, 9, 14]))}
+        for each in self.workers.values() if family == "cold" and self.now else ():
+            each.started = self.rng.choice([0.0, self.now - 40.0])  # just before the scheduler
         if family in ("large", "long"):
-            self.machines = {n: Machine(self.rng, n, 0.0) for n in range(1, 70)}
-        self.requests: dict[str, tuple] = {}  # the last values under each id
-        self.tries: dict[str, list[list]] = {}  # of each id: worker, whether it has ended, whether it began
-        self.mean = self.options["classes"][0]["aim_ms"] * self.rng.choice([0.03, 0.1, 0.4, 1.5])
-        self.keyed = self.rng.choice([0.15, 0.25, 0.8]) if family == "keys" else 0.03
-        self.burst = 0  # arrivals still to come close together, after a long pause
-        self.accepting = self.rng.random() < 0.3
-        self.bad = {"failing": 0.5, "long": 0.8, "hanging": 0.1}.get(family, 0.15)
-        self.still = {"hanging": 0.5, "progress": 0.25}.get(family, 0.03)
-        self.node = Node(self.options, seed, self.now)
+            self.workers = {n: WorkerModel(self.rng, n, 0.0) for n in range(1, 70)}
+        self.requests: dict[str, tuple] = {}  # by request id: class name, ms to the deadline, other fields
+        self.attempts: dict[str, list[list]] = {}  # by request id: [worker id, has ended, has started]
+        self.mean_interval_ms = self.options["classes"][0]["aim_ms"] * self.rng.choice([0.03, 0.1, 0.4, 1.5])
+        self.key_probability = self.rng.choice([0.15, 0.25, 0.8]) if family == "keys" else 0.03
+        self.burst_arrivals_left = 0  # arrivals still to come at short intervals, after a pause
+        self.reports_acceptance = self.rng.random() < 0.3
+        self.failure_probability = {"failing": 0.5, "long": 0.8, "hanging": 0.1}.get(family, 0.15)
+        self.hang_probability = {"hanging": 0.5, "progress": 0.25}.get(family, 0.03)
+        self.scheduler = SchedulerUnderTest(self.options, seed, self.now)
 
     def run(self) -> str:
         if self.options["discovery"] is None or self.rng.random() < 0.5:
-            self.list("persisted")
-        self.after(self.rng.expovariate(1 / self.mean), self.arrive)
-        self.after(self.rng.expovariate(1 / (20 * self.mean)), self.trouble)
-        self.after(0.0, self.feed, "timer", 0)  # one that was not asked for
-        while self.agenda and self.left > 0:
-            when, _, act, values = heappop(self.agenda)
+            self.feed_list("persisted")
+        self.call_after(self.rng.expovariate(1 / self.mean_interval_ms), self.submit_next)
+        self.call_after(self.rng.expovariate(1 / (20 * self.mean_interval_ms)), self.change_workers)
+        self.call_after(0.0, self.feed, "timer", 0)  # a timer that was never set
+        while self.scheduled and self.events_left > 0:
+            when, _, act, values = heappop(self.scheduled)
             self.now = max(self.now, when)
             act(*values)
         return self.digest.hexdigest()
 
-    def after(self, wait: float, act, *values) -> None:
+    def call_after(self, wait: float, act, *values) -> None:
         self.count += 1
-        heappush(self.agenda, (self.now + wait, self.count, act, values))
+        heappush(self.scheduled, (self.now + wait, self.count, act, values))
 
     def feed(self, word: str, *values) -> None:
-        """Give the node an event, note its actions, and have the world answer them."""
-        self.left -= 1
-        actions = self.node.take(self.now, word, values)
+        """Handles an event, digests the actions and responds to them."""
+        self.events_left -= 1
+        actions = self.scheduler.handle(self.now, word, values)
         self.digest.update(f"{self.now!r} {actions!r}\n".encode())
         for name, *rest in actions:
             getattr(self, f"on_{name}")(*rest)
 
-    # -- what the world does by itself
+    # -- events that no action causes
 
-    def arrive(self) -> None:
+    def submit_next(self) -> None:
         rng = self.rng
-        if rng.random() < 0.9 and self.left > 40:
+        if rng.random() < 0.9 and self.events_left > 40:
             rid = f"r{len(self.requests)}"
             cls = rng.choice(self.options["classes"])
             name = "none such" if rng.random() < 0.01 else cls["name"]
-            key = rng.random() < self.keyed
+            key = rng.random() < self.key_probability
             slots = rng.choice([1, 1, 1, 2, 3]) if self.family in ("memory", "reports") else 1
             memory = rng.uniform(0.0, 4.0) if self.options["specifics"]["memory_unit"] else 0.0
-            self.request(
+            self.submit(
                 rid,
                 name,
                 cls["deadline_ms"] * rng.choice([1.0, 1.0, 0.2]),
@@ -264,53 +264,57 @@
                 f"key {rng.randrange(6)}" if key else None,
                 False,
             )
-        close = 0.05 if rng.random() < 0.3 or self.burst > 0 else 1.0
-        self.burst -= 1
-        if self.family == "tenants" and self.burst < -20 and rng.random() < 0.2:
-            self.burst = 80
-            self.after(rng.uniform(1000.0, 6000.0), self.arrive)  # unused shares add up meanwhile
+        interval_factor = 0.05 if rng.random() < 0.3 or self.burst_arrivals_left > 0 else 1.0
+        self.burst_arrivals_left -= 1
+        if self.family == "tenants" and self.burst_arrivals_left < -20 and rng.random() < 0.2:
+            self.burst_arrivals_left = 80
+            self.call_after(rng.uniform(1000.0, 6000.0), self.submit_next)  # meanwhile unused quota adds up
         else:
-            self.after(rng.expovariate(1 / (self.mean * close)), self.arrive)
+            self.call_after(rng.expovariate(1 / (self.mean_interval_ms * interval_factor)), self.submit_next)
 
-    def request(self, rid: str, name: str, wait: float, *rest) -> None:
-        self.requests[rid], self.tries[rid] = (name, wait, *rest), []
+    def submit(self, rid: str, name: str, wait: float, *rest) -> None:
+        self.requests[rid], self.attempts[rid] = (name, wait, *rest), []
         if self.rng.random() < 0.04:
-            self.after(wait * self.rng.random(), self.feed, "left", rid)
+            self.call_after(wait * self.rng.random(), self.feed, "left", rid)
         self.feed("request", rid, name, self.now + wait, *rest)
 
-    def trouble(self) -> None:
-        """A change of workers, of the list, or a word that fits nothing."""
+    def change_workers(self) -> None:
+        """Changes workers or the worker list, or feeds an event that fits nothing."""
         rng = self.rng
-        machine = rng.choice(list(self.machines.values()))
+        worker = rng.choice(list(self.workers.values()))
         roll = rng.random()
         if roll < 0.15:
-            machine.state = rng.choice(["healthy", "healthy", "draining", "gone"])
-            self.list("partial", machine)
+            worker.state = rng.choice(["healthy", "healthy", "draining", "gone"])
+            self.feed_list("partial", worker)
         elif roll < 0.35:
-            machine.state, machine.started, machine.running = "healthy", self.now - rng.choice([0.0, 5.0]), 0
-            machine.feeder = rng.choice([None, None, 0.0, 0.5, 1.0])
-            self.list("partial", machine)
+            worker.state, worker.started, worker.running = (
+                "healthy",
+                self.now - rng.choice([0.0, 5.0]),
+                0,
+            )
+            worker.feeder_share = rng.choice([None, None, 0.0, 0.5, 1.0])
+            self.feed_list("partial", worker)
         elif roll < 0.45:
-            machine.weight = rng.choice([0.0, 0.25, 1.0, 3.0])
-            self.list("partial", machine)
+            worker.weight = rng.choice([0.0, 0.25, 1.0, 3.0])
+            self.feed_list("partial", worker)
         elif roll < 0.6:
-            machine.mode = rng.choice(["well", "well", "failing", "full", "silent"])
+            worker.mode = rng.choice(["well", "well", "failing", "full", "silent"])
         elif roll < 0.7:
-            new = max(self.machines) + 1
-            self.machines[new] = Machine(rng, new, rng.choice([0.0, max(0.0, self.now)]))
-            self.list("partial", self.machines[new])
+            new = max(self.workers) + 1
+            self.workers[new] = WorkerModel(rng, new, rng.choice([0.0, max(0.0, self.now)]))
+            self.feed_list("partial", self.workers[new])
         elif roll < 0.8:
-            self.list(rng.choice(["complete", "persisted"]))
+            self.feed_list(rng.choice(["complete", "persisted"]))
         elif roll < 0.85:
             self.feed("list", "error")
         elif roll < 0.88:
             self.feed("stranded", rng.choice("abc"))
         else:
-            self.unfitting(rng.randrange(8))
-        self.after(rng.expovariate(1 / (20 * self.mean)), self.trouble)
+            self.feed_unknown(rng.randrange(8))
+        self.call_after(rng.expovariate(1 / (20 * self.mean_interval_ms)), self.change_workers)
 
-    def unfitting(self, which: int) -> None:
-        """Events that name nothing known, come twice, or mean nothing to the module."""
+    def feed_unknown(self, which: int) -> None:
+        """Feeds an event that names an unknown id, comes twice, or has no handler."""
         known = self.rng.choice(list(self.requests) or ["r0"])
         self.feed(
             *(
@@ -325,41 +329,42 @@
             )[which]
         )
 
-    def list(self, scope: str, *some: Machine) -> None:
-        whole = [each for each in self.machines.values() if each.state != "gone" and self.rng.random() < 0.95]
-        self.feed("list", scope, tuple(each.entry() for each in some or whole))
+    def feed_list(self, scope: str, *changed: WorkerModel) -> None:
+        """Feeds a worker list of the changed workers, or of all; some may be missing from the latter."""
+        listed = [each for each in self.workers.values() if each.state != "gone" and self.rng.random() < 0.95]
+        self.feed("list", scope, tuple(each.entry() for each in changed or listed))
 
-    def report(self, machine: Machine) -> tuple | None:
-        """Its load in the order of the settings' fields, now and then nonsense or none."""
-        running, fields = machine.running, self.options["report"]["fields"]
-        told = {
+    def load_report(self, worker: WorkerModel) -> tuple | None:
+        """Returns the worker's load in the order of the settings' fields; sometimes wrong values or None."""
+        running, fields = worker.running, self.options["report"]["fields"]
+        load = {
             "rif": float(running),
-            "q": float(max(0, running - machine.slots)),
-            "x0": float(max(0, machine.slots - running)),
+            "q": float(max(0, running - worker.slots)),
+            "x0": float(max(0, worker.slots - running)),
             "x1": 3.0,
         }
         if not fields or self.rng.random() < 0.2:
             return self.rng.choice([None, (2.0,)])
         if self.rng.random() < 0.05:
             return tuple(self.rng.uniform(0.0, 9.0) for _ in fields)
-        return tuple(told[each] for each in fields)
+        return tuple(load[each] for each in fields)
 
-    # -- what it does on the node's actions
+    # -- responses to the scheduler's actions
 
-    def on_send(self, rid: str, worker: int, timeout: float) -> None:
-        rng, machine, number = self.rng, self.machines[worker], len(self.tries[rid])
-        attempt = [worker, False, False]
-        self.tries[rid].append(attempt)
+    def on_send(self, rid: str, worker_id: int, timeout: float) -> None:
+        rng, worker, number = self.rng, self.workers[worker_id], len(self.attempts[rid])
+        attempt = [worker_id, False, False]
+        self.attempts[rid].append(attempt)
         cls = next(
             (each for each in self.options["classes"] if each["name"] == self.requests[rid][0]),
             self.options["classes"][0],
         )
-        took = cls["aim_ms"] * rng.uniform(0.1, 1.5) / machine.speed
-        if machine.mode == "silent" or rng.random() < self.still / 3:
-            if rng.random() < 0.7:  # else nothing is ever heard of it
-                self.after(
+        service_ms = cls["aim_ms"] * rng.uniform(0.1, 1.5) / worker.speed
+        if worker.mode == "silent" or rng.random() < self.hang_probability / 3:
+            if rng.random() < 0.7:  # otherwise its end is never reported
+                self.call_after(
                     rng.uniform(1.0, 4.0) * cls["deadline_ms"],
-                    self.end,
+                    self.end_attempt,
                     rid,
                     number,
                     attempt,
@@ -367,45 +372,49 @@
                     None,
                 )
             return
-        if self.accepting:
-            self.after(rng.uniform(0.5, 4.0), self.word, "accepted", rid, number, attempt)
-        full = machine.running >= 2 * machine.slots or (machine.mode == "full" and rng.random() < 0.8)
+        if self.reports_acceptance:
+            self.call_after(rng.uniform(0.5, 4.0), self.feed_for_attempt, "accepted", rid, number, attempt)
+        full = worker.running >= 2 * worker.slots or (worker.mode == "full" and rng.random() < 0.8)
         if full:
-            self.after(rng.uniform(0.5, 3.0), self.end, rid, number, attempt, "full", None)
+            self.call_after(rng.uniform(0.5, 3.0), self.end_attempt, rid, number, attempt, "full", None)
             return
-        machine.running += 1
-        wait = rng.uniform(0.5, 5.0) + (took if machine.running > machine.slots else 0.0)
+        worker.running += 1
+        wait = rng.uniform(0.5, 5.0) + (service_ms if worker.running > worker.slots else 0.0)
         if self.options["specifics"]["tells_start"] and rng.random() < 0.95:
-            self.after(wait, self.start, rid, number, attempt)
+            self.call_after(wait, self.report_progress, rid, number, attempt)
         if cls["streamed"] and rng.random() < 0.5:
-            self.after(wait + took / 2, self.word, "streamed", rid, number, attempt)
-        if rng.random() < self.still:
-            return  # it goes on for ever, or is lost there
-        if machine.mode == "failing" or rng.random() < self.bad:
+            self.call_after(wait + service_ms / 2, self.feed_for_attempt, "streamed", rid, number, attempt)
+        if rng.random() < self.hang_probability:
+            return  # the worker hangs, or has lost the job
+        if worker.mode == "failing" or rng.random() < self.failure_probability:
             result = rng.choice(RESULTS)
-            self.after(rng.choice([1.0, took]), self.end, rid, number, attempt, result, machine)
+            self.call_after(
+                rng.choice([1.0, service_ms]), self.end_attempt, rid, number, attempt, result, worker
+            )
         else:
-            self.after(wait + took, self.end, rid, number, attempt, "ok", machine)
+            self.call_after(wait + service_ms, self.end_attempt, rid, number, attempt, "ok", worker)
 
-    def word(self, word: str, rid: str, number: int, attempt: list) -> None:
+    def feed_for_attempt(self, word: str, rid: str, number: int, attempt: list) -> None:
         if not attempt[1]:
             self.feed(word, rid, number, attempt[0])
 
-    def start(self, rid: str, number: int, attempt: list) -> None:
+    def report_progress(self, rid: str, number: int, attempt: list) -> None:
         if attempt[1]:
             return
         self.feed("note", rid, number, attempt[0], not attempt[2] or self.rng.random() < 0.05)
         attempt[2] = True
-        every = self.options["specifics"]["progress_ms"]
-        if every and self.rng.random() < 0.9:
-            self.after(every, self.start, rid, number, attempt)
+        interval_ms = self.options["specifics"]["progress_ms"]
+        if interval_ms and self.rng.random() < 0.9:
+            self.call_after(interval_ms, self.report_progress, rid, number, attempt)
 
-    def end(self, rid: str, number: int, attempt: list, result: str, machine: Machine | None) -> None:
+    def end_attempt(
+        self, rid: str, number: int, attempt: list, result: str, worker: WorkerModel | None
+    ) -> None:
         if attempt[1]:
             return
         attempt[1], rng = True, self.rng
-        if machine is not None:
-            machine.running = max(0, machine.running - 1)
+        if worker is not None:
+            worker.running = max(0, worker.running - 1)
         complete = rng.random() < (0.97 if result == "ok" else 0.05)
         elapsed = 0.0 if rng.random() < 0.1 else rng.uniform(1.0, 200.0)
         self.feed(
@@ -416,46 +425,52 @@
             result,
             complete,
             elapsed,
-            self.report(self.machines[attempt[0]]),
+            self.load_report(self.workers[attempt[0]]),
         )
 
     def on_cancel(self, rid: str, number: int) -> None:
-        if number < len(self.tries[rid]) and self.rng.random() < 0.85:
-            attempt = self.tries[rid][number]
+        if number < len(self.attempts[rid]) and self.rng.random() < 0.85:
+            attempt = self.attempts[rid][number]
             result = self.rng.choice(["cancelled", "cancelled", "moot"])
-            self.after(
-                self.rng.uniform(0.5, 5.0), self.end, rid, number, attempt, result, self.machines[attempt[0]]
+            self.call_after(
+                self.rng.uniform(0.5, 5.0),
+                self.end_attempt,
+                rid,
+                number,
+                attempt,
+                result,
+                self.workers[attempt[0]],
             )
 
     def on_refuse(self, rid: str, retry_after: float) -> None:
-        if self.rng.random() < 0.15:  # the client comes again under the same id
+        if self.rng.random() < 0.15:  # the client repeats the request under the same id
             name, wait, *rest = self.requests[rid]
-            self.after(max(1.0, retry_after), self.request, rid, name, wait, *rest[:-1], True)
+            self.call_after(max(1.0, retry_after), self.submit, rid, name, wait, *rest[:-1], True)
 
     def on_fail(self, rid: str) -> None:
         self.on_refuse(rid, 0.0)
 
     def on_timer(self, delay: float, token: int) -> None:
-        self.after(
+        self.call_after(
             delay + (self.rng.uniform(0.0, 3.0) if self.rng.random() < 0.1 else 0.0),
             self.feed,
             "timer",
             token,
         )
 
-    def on_probe(self, worker: int) -> None:
+    def on_probe(self, worker_id: int) -> None:
         if self.rng.random() < 0.85:
             result = "ok" if self.rng.random() < 0.9 else "unreachable"
-            self.after(self.rng.uniform(0.5, 4.0), self.probed, worker, result)
+            self.call_after(self.rng.uniform(0.5, 4.0), self.answer_probe, worker_id, result)
 
-    def probed(self, worker: int, result: str) -> None:
-        self.feed("probed", worker, result, 2.0, self.report(self.machines[worker]))
+    def answer_probe(self, worker_id: int, result: str) -> None:
+        self.feed("probed", worker_id, result, 2.0, self.load_report(self.workers[worker_id]))
 
     def on_watch(self) -> None:
         if self.rng.random() < 0.3:
-            self.after(3.0, self.feed, "list", "error")
+            self.call_after(3.0, self.feed, "list", "error")
         else:
-            self.after(3.0, self.list, "complete")
+            self.call_after(3.0, self.feed_list, "complete")
 
     def on_peers(self, payload: str) -> None:
         pass
@@ -464,18 +479,18 @@
         pass
 
 
-def digests() -> dict[str, str]:
-    """Of all streams, by name."""
-    drawn = {family: (EVENTS_EACH, SEEDS_EACH) for family in FAMILIES} | LONG
+def compute_digests() -> dict[str, str]:
+    """Returns the digests of all streams by name."""
+    drawn = {family: (EVENTS_PER_STREAM, STREAMS_PER_FAMILY) for family in FAMILIES} | LONG
     return {
-        f"{family}-{seed}": Stream(family, seed, events).run()
+        f"{family}-{seed}": EventStream(family, seed, events).run()
         for family, (events, seeds) in drawn.items()
         for seed in range(seeds)
     }
 
 
-def told(found: dict[str, str], recorded: dict[str, str]) -> str:
-    """Which streams differ, the first few of them by name; empty where none does."""
+def describe_differences(found: dict[str, str], recorded: dict[str, str]) -> str:
+    """Returns how many streams differ and the first few names; empty if none differs."""
     differ = [
         name for name in sorted(found.keys() | recorded.keys()) if found.get(name) != recorded.get(name)
     ]
@@ -485,10 +500,10 @@
 
 
 def test_every_stream_gives_the_recorded_actions():
-    wrong = told(digests(), json.loads(GOLDEN.read_text()))
-    assert not wrong, wrong
+    differences = describe_differences(compute_digests(), json.loads(GOLDEN.read_text()))
+    assert not differences, differences
 
 
 if __name__ == "__main__" and sys.argv[1:] == ["--write"]:
     GOLDEN.parent.mkdir(exist_ok=True)
-    GOLDEN.write_text(json.dumps(digests(), indent=0) + "\n")
+    GOLDEN.write_text(json.dumps(compute_digests(), indent=0) + "\n")
