--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire: framing, translation, crash and restart, faults."""
+"""The adapter's protocol: framing, translation, crash and restart of a node, faults of a decision."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     "rules": {"stop_sending_within_ms": 500.0},
 }
 INIT = ["Init", "node_0", 5, OPTIONS]
-LIST = ["Membership", "node_0", "Persisted", 1, [["healthy", "a", 0, 1, "std", None, 11, "extra"]]]
+WORKER_LIST = ["Membership", "node_0", "Persisted", 1, [["healthy", "a", 0, 1, "std", None, 11, "extra"]]]
 SUBMIT = ["Submit", "node_0", "t/1", None, 1, None, "look", False, False, None, 6000.0, None, False]
 
 
@@ -39,16 +39,16 @@
     return code, [json.loads(line) for line in sink.getvalue().splitlines()], sink.getvalue().decode()
 
 
-def test_start_request_outcome_and_crash_in_one_session():
-    code, out, _ = run_adapter(
-        *batch(0.0, INIT, LIST),
+def test_request_outcome_crash_and_restart_in_one_session():
+    code, replies, _ = run_adapter(
+        *batch(0.0, INIT, WORKER_LIST),
         *batch(10.0, SUBMIT, ["Novelty", "node_0", 1]),
         *batch(20.0, ["Returned", "node_0", "t/1", 9.0, None, 0, 11, "OK", True, None]),
-        *batch(30.0, ["CrashNow", "node_0"], INIT, LIST, [*SUBMIT[:2], "t/2", *SUBMIT[3:]]),
+        *batch(30.0, ["CrashNow", "node_0"], INIT, WORKER_LIST, [*SUBMIT[:2], "t/2", *SUBMIT[3:]]),
         *batch(31.0),
     )
-    assert code == 0 and [m for m in out if m == ["Eor"]] == [["Eor"]] * 5
-    assert [m[2:4] for m in out if m[0] == "CallOut"] == [["t/1", 11], ["t/2", 11]]
+    assert code == 0 and [m for m in replies if m == ["Eor"]] == [["Eor"]] * 5
+    assert [m[2:4] for m in replies if m[0] == "CallOut"] == [["t/1", 11], ["t/2", 11]]
 
 
 @pytest.mark.parametrize(
@@ -58,31 +58,31 @@
         [["Go"]],
         [["Sync", 1.0], ["Sync", 2.0]],
         [["Sync"]],
-        [*batch(0.0, INIT, LIST)[:-1], ["Submit", "node_0"]],
+        [*batch(0.0, INIT, WORKER_LIST)[:-1], ["Submit", "node_0"]],
         [["Sync", 0.0], ["Init", "node_0"]],
     ],
 )
-def test_broken_frame_ends_with_code_2_and_a_plain_line(lines, capsys):
-    code, out, _ = run_adapter(*lines)
-    assert code == 2 and out == []
+def test_framing_error_exits_with_2_and_names_the_line(lines, capsys):
+    code, replies, _ = run_adapter(*lines)
+    assert code == 2 and replies == []
     assert capsys.readouterr().err.startswith(f"line {len(lines)}: ")
 
 
-def test_exception_in_a_decision_is_told(capsys):
+def test_exception_in_a_decision_is_reported_as_die(capsys):
     wrong = {**OPTIONS, "balancers": -3}
-    code, out, _ = run_adapter(*batch(0.0, ["Init", "node_0", 5, wrong]))
-    assert code == 0 and out[0][:2] == ["Die", "node_0"] and "nodes" in out[0][2]
+    code, replies, _ = run_adapter(*batch(0.0, ["Init", "node_0", 5, wrong]))
+    assert code == 0 and replies[0][:2] == ["Die", "node_0"] and "nodes" in replies[0][2]
     assert "Traceback" in capsys.readouterr().err
 
 
-def test_same_actions_in_one_process_and_in_several():
-    def day(node: str) -> list:
-        events = [[name, node, *rest] for name, _, *rest in (INIT, LIST, SUBMIT)]
+def test_nodes_act_alike_in_one_process_and_in_several():
+    def session(node: str) -> list:
+        events = [[name, node, *rest] for name, _, *rest in (INIT, WORKER_LIST, SUBMIT)]
         return [*batch(0.0, *events[:2]), *batch(5.0, events[2]), *batch(5000.0, ["Wakeup", node, 0])]
 
     both = [
         m
-        for pair in zip(day("node_1"), day("node_2"), strict=True)
+        for pair in zip(session("node_1"), session("node_2"), strict=True)
         for m in (pair if pair[0] != pair[1] else pair[:1])
     ]
 
@@ -98,4 +98,4 @@
         )
         return [line for line in done.stdout.splitlines() if "Eor" not in line]
 
-    assert sorted(actions(both)) == sorted(actions(day("node_1")) + actions(day("node_2")))
+    assert sorted(actions(both)) == sorted(actions(session("node_1")) + actions(session("node_2")))
