--- a/spanwing/hot_restart/state_transfer.py
+++ b/spanwing/hot_restart/state_transfer.py
@@ -170,7 +170,7 @@
 def _resume_request(scheduler: Scheduler, event: RequestResumed) -> None:
     """Adds a request as if it had begun here: the same counts, the same alarms from the same moments."""
     req = event.request
-    index = scheduler.class_indexes.get(req.cls, 0)
+    index = scheduler.class_indexes.get(req.class_name, 0)
     job = Job(
         req,
         scheduler.settings.classes[index],
--- a/spanwing/interface.py
+++ b/spanwing/interface.py
@@ -177,14 +177,14 @@
     """A client's request, which this scheduler must answer exactly once."""
 
     id: str
-    cls: str  # name of its service class
+    class_name: str
     deadline: float  # clock time
     tenant: str | None = None
     slots: int = 1
     memory: float = 0.0
-    hint: float = 0.0  # expected running time; 0: unknown
-    key: str | None = None  # sticky key
-    repeat: bool = False  # the client has sent it before
+    expected_ms: float = 0.0  # running time that the client expects; 0: unknown
+    sticky_key: str | None = None
+    is_repeat: bool = False  # the client has sent it before
 
 
 class Outcome(NamedTuple):
--- a/spanwing/scheduler.py
+++ b/spanwing/scheduler.py
@@ -224,11 +224,11 @@
     # -- requests and their queues
 
     def _on_request(self, request: api.Request) -> None:
-        index = self.class_indexes.get(request.cls, 0)
+        index = self.class_indexes.get(request.class_name, 0)
         job = self.jobs[request.id] = Job(request, self.settings.classes[index], index, self.now)
         account = self._account_of(job)
         account.refill(self.now)
-        self.sticky_share += STICKY_SHARE_GAIN * ((request.key is not None) - self.sticky_share)
+        self.sticky_share += STICKY_SHARE_GAIN * ((request.sticky_key is not None) - self.sticky_share)
         self.probe_budget = min(self.probe_budget + PROBES_PER_ARRIVAL, 10.0)
         job.is_over_quota = self.settings.over_quota_weight < 1.0 and not account.count_arrival()
         self.timers.call_at(request.deadline, self._finish_unserved, job)
@@ -247,7 +247,7 @@
         Owned workers with room are probed for a non-idempotent job, which cannot be cancelled once queued
         there and so waits for an observed idle slot (see _find_worker).
         """
-        if not self.can_probe_slots or job.request.key is not None or job.request.id not in self.jobs:
+        if not self.can_probe_slots or job.request.sticky_key is not None or job.request.id not in self.jobs:
             return
         remaining = min(MAX_PROBES_PER_JOB, int(self.probe_budget))
         sampled = (
@@ -510,7 +510,7 @@
         is taken, then the fastest foreign one whose probe found an idle slot. Where workers cannot be probed,
         the least loaded of a random sample of foreign workers is taken, the own zone first.
         """
-        if job.request.key is not None:
+        if job.request.sticky_key is not None:
             return self._find_sticky_worker(job)
         best: WorkerState | None = None
         self.fed_workers = [worker for worker in self.fed_workers if self._is_warming_up(worker)]
@@ -559,7 +559,7 @@
         # All schedulers send a key to the same workers, so each may use its share of the slots there, at
         # least one.
         max_reserved = max(1.0, 1.25 * ASSUMED_SLOTS / self.settings.node_count)
-        start, tried_ids = bisect(self.hash_ring, (stable_hash(*job.request.key.encode()), 0)), set()
+        start, tried_ids = bisect(self.hash_ring, (stable_hash(*job.request.sticky_key.encode()), 0)), set()
         for i in range(min(len(self.hash_ring), MAX_SCANNED_WORKERS)):
             worker_id = self.hash_ring[(start + i) % len(self.hash_ring)][1]
             worker = self.worker_states[worker_id]
--- a/spanwing/simulation/fleet.py
+++ b/spanwing/simulation/fleet.py
@@ -283,7 +283,7 @@
                 generated.tenant,
                 generated.slots,
                 generated.class_spec.memory,
-                repeat=submission_number > 1,
+                is_repeat=submission_number > 1,
             )
         )
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -176,7 +176,7 @@
     driver = Driver(workers=50)
     driver.ask("look")
     assert not driver.scheduler.hash_ring
-    driver.ask("look", key="a")
+    driver.ask("look", sticky_key="a")
     assert driver.scheduler.hash_ring
 
 
@@ -377,7 +377,7 @@
     workers = set()
     for n in range(6):
         driver = Driver(settings(node_count=6, node_index=n), workers=30, seed=n)
-        workers |= {each.worker for each in sends(driver.ask("look", key="series/7")[1])}
+        workers |= {each.worker for each in sends(driver.ask("look", sticky_key="series/7")[1])}
     assert len(workers) == 1
 
 
--- a/tests/test_rules_random.py
+++ b/tests/test_rules_random.py
@@ -57,7 +57,7 @@
         elif isinstance(action, (Reject, Fail)):
             rid = action.request
             assert rid not in self.answers, "answered twice"
-            cls, attempts = self.classes[self.requests[rid].cls], self.attempts[rid]
+            cls, attempts = self.classes[self.requests[rid].class_name], self.attempts[rid]
             if isinstance(action, Reject) and cls.idempotency != "safe":
                 ran = [each for each in attempts if each["result"] not in NEVER_RAN]
                 assert not ran or (cls.idempotency == "keyed" and cls.repeat_group == "all"), (
@@ -71,7 +71,7 @@
         rid = action.request
         assert rid not in self.answers, "sent after its answer"
         cls, attempts, worker = (
-            self.classes[self.requests[rid].cls],
+            self.classes[self.requests[rid].class_name],
             self.attempts[rid],
             self.workers[action.worker],
         )
