--- a/spanwing/interface.py
+++ b/spanwing/interface.py
@@ -1,6 +1,6 @@
 """Types of the decision module: its settings, the events it handles and the actions it returns.
 
-All times are milliseconds on the scheduler's clock.
+All times are milliseconds; points in time are those of the scheduler's clock.
 """
 
 from __future__ import annotations
@@ -9,14 +9,14 @@
 from dataclasses import dataclass
 from typing import Literal, NamedTuple
 
-#: "safe": idempotent. "keyed": a worker drops a repeat of its idempotency key within the deduplication
-#: window. "unsafe": non-idempotent, so it is not repeated once an attempt may have run.
+#: "safe": idempotent. "keyed": a worker drops a repeat of the request within the deduplication window.
+#: "unsafe": non-idempotent, so it is not repeated once an attempt may have run.
 Idempotency = Literal["safe", "keyed", "unsafe"]
 #: The workers that share one deduplication window: all, those of one zone, or those of one cell.
 RepeatGroup = Literal["all", "zone", "cell"]
 State = Literal["healthy", "draining", "gone"]
-#: How an attempt or a probe ended. "full": no free slot. "moot": cancelled before it ran. "rejected": the
-#: worker rejects the request itself, which says nothing about the worker.
+#: How an attempt or a probe ended. "full": the worker has no free slot. "moot": cancelled, or too late,
+#: before it was sent. "rejected": the worker rejects the request, which says nothing about the worker.
 Result = Literal["ok", "error", "full", "timeout", "unreachable", "reset", "cancelled", "moot", "rejected"]
 
 #: Results that prove that an attempt never ran.
@@ -85,9 +85,9 @@
     answer_grace: float = 0.0  # a final answer may come this long after the deadline
     drain_grace: float = 0.0  # sends to a draining worker must end within this
     slow_start_initial_fraction: float = 1.0  # of its capacity, for a worker that has just started
-    slow_start_ms: float = 0.0
-    overload_multiple: float = 1.0  # work within overload_window_ms that a worker bears, times its capacity
-    overload_window_ms: float = 0.0
+    slow_start_ms: float = 0.0  # a worker warms up for this long after its start
+    overload_multiple: float = 1.0  # more work than this times its capacity overloads a warming worker
+    overload_window_ms: float = 0.0  # time over which that work is summed up
 
     def __post_init__(self) -> None:
         """Raises SettingsError if a value is out of range."""
@@ -163,7 +163,7 @@
     weight: float = 1.0
     kind: str = ""
     started: float = 0.0  # clock time of its latest start; 0: long ago
-    feeder_share: float | None = None  # share of a feeder's budget while it warms up; None: by its id's hash
+    feeder_share: float | None = None  # part of a feeder's budget while it warms up; None: by hash
 
 
 class WorkerList(NamedTuple):
--- a/spanwing/scheduler.py
+++ b/spanwing/scheduler.py
@@ -32,7 +32,9 @@
 # Part of a warming worker's budget that is used; the rest is left for jobs longer than the mean.
 WARM_UP_BUDGET_FRACTION = 0.6
 QUEUE_POLL_MS = 20.0  # interval at which idle slots are looked for while jobs are queued
-FIRST_EJECTION_MS, MAX_EJECTION_MS = 1000.0, 8000.0  # each ejection in a row doubles the time
+# Each ejection in a row doubles the time. A raised capacity is kept for the first of these times, a lowered
+# one for the last.
+FIRST_EJECTION_MS, MAX_EJECTION_MS = 1000.0, 8000.0
 # Probes are priced per request, so each arrival earns its own.
 PROBES_PER_ARRIVAL, MAX_PROBES_PER_JOB = 1.0, 2
 # A worker that reports acceptance does so at once; its pauses are shorter than this.
@@ -60,15 +62,15 @@
             for each in tenants
         }
         self.token_accounts[None] = TokenAccount(0.0, now, len(self.class_indexes))  # of unlisted tenants
-        # Healthy workers: those assigned to this scheduler, and those of others, here and in other zones.
+        # Healthy workers: assigned to this scheduler, and to others in its own zone and in other zones.
         self.owned_workers: list[WorkerState] = []
         self.same_zone_workers: list[WorkerState] = []
         self.remote_workers: list[WorkerState] = []
         self.foreign_workers: list[WorkerState] = []  # of the same zone and remote
         self.fed_workers: list[WorkerState] = []  # foreign workers that warm up and are fed from here
-        # A warming worker is fed by as many schedulers as it may have slots, so that it gets jobs whichever
-        # of them are down, but by no more than have room for a job in their shares of its budget. They follow
-        # from the worker's id alone, so that a stale endpoint list cannot add feeders.
+        # A warming worker has several feeders, so that it gets jobs whichever of them are down: one for each
+        # slot that it may have, as long as each feeder's share of its budget covers a job. Feeders follow
+        # from the worker's id alone, so that a stale endpoint list cannot add any.
         jobs = (
             WARM_UP_BUDGET_FRACTION
             * settings.overload_multiple
@@ -85,8 +87,8 @@
         self.hash_ring: list[tuple[int, int]] = []  # (hash, worker id); empty until a sticky key needs it
         self.jobs: dict[str, Job] = {}  # unanswered, by request id
         self.open_attempts: dict[tuple[str, int], Attempt] = {}  # by request id and attempt number
-        self.late_jobs: deque[Job] = deque()  # queued behind all that may still be in time
-        self.over_quota_jobs: deque[Job] = deque()  # queued behind the late jobs
+        self.late_jobs: deque[Job] = deque()  # tried after the queues of the tenants
+        self.over_quota_jobs: deque[Job] = deque()  # tried after the late jobs
         self.queued_count, self.is_queue_poll_set, self.log_line_count = 0, False, 0
         # Consulted before the usual placement; set by zones/trial_requests.py.
         self.placement_override: Callable[[Job], WorkerState | None] | None = None
@@ -152,7 +154,7 @@
         self._dispatch_queued()
 
     def is_feeder(self, worker_id: int) -> bool:
-        """Returns whether this scheduler is one of the worker's feeders, by the hashes of all schedulers."""
+        """Returns whether this scheduler is one of the worker's feeders: those with the largest hashes."""
         own = stable_hash(worker_id, self.settings.node_index), -self.settings.node_index
         larger = (
             node for node in range(self.settings.node_count) if (stable_hash(worker_id, node), -node) > own
@@ -480,7 +482,7 @@
         return worker.entry.started > 0 and self.now - worker.entry.started < self.settings.slow_start_ms
 
     def _has_room(self, worker: WorkerState, job: Job, extra_slots: float = 0.0) -> bool:
-        """Returns whether the worker may run the job now; extra_slots: accepted length of its queue."""
+        """Returns whether the worker has room for the job; extra_slots: how many may be queued there."""
         if worker.reserved_slots + job.request.slots > min(
             worker.estimated_slots, worker.concurrency_limit
         ) or (
@@ -549,7 +551,7 @@
 
     def _find_sticky_worker(self, job: Job) -> WorkerState | None:
         """Returns the first worker with room on the hash ring, from the job's sticky key on, or None."""
-        if not self.hash_ring:
+        if not self.hash_ring:  # 16 points per unit of weight, at most 128 per worker
             self.hash_ring = sorted(
                 (stable_hash(worker.entry.id, 7919, i), worker.entry.id)
                 for worker in self.worker_states.values()
@@ -563,7 +565,7 @@
         for i in range(min(len(self.hash_ring), MAX_SCANNED_WORKERS)):
             worker_id = self.hash_ring[(start + i) % len(self.hash_ring)][1]
             worker = self.worker_states[worker_id]
-            # A short queue there costs less than loading the key's data at another worker.
+            # A short queue there costs less than fetching the key's data at another worker.
             if (
                 worker_id not in tried_ids
                 and worker.reserved_slots < max_reserved
