--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -34,9 +34,9 @@
     def __init__(self, scheduler: SchedulerUnderTest) -> None:
         self.scheduler, self.events = scheduler, []
 
-    def handle(self, now: float, word: str, values: tuple) -> list[tuple]:
-        self.events.append((now, word, values))
-        return self.scheduler.handle(now, word, values)
+    def handle(self, now: float, event_name: str, values: tuple) -> list[tuple]:
+        self.events.append((now, event_name, values))
+        return self.scheduler.handle(now, event_name, values)
 
 
 def record_stream(family: str, seed: int) -> tuple[dict, float, list[tuple]]:
@@ -50,8 +50,8 @@
 def replay(scheduler: SchedulerUnderTest, events: list[tuple]) -> float:
     """Returns the seconds that all events take, with the conversion of each event and its actions."""
     handle, started_s = scheduler.handle, time.perf_counter()
-    for now, word, values in events:
-        handle(now, word, values)
+    for now, event_name, values in events:
+        handle(now, event_name, values)
     return time.perf_counter() - started_s
 
 
--- a/spanwing/scheduler.py
+++ b/spanwing/scheduler.py
@@ -178,9 +178,9 @@
             self.assigned_kinds, self.assignment_order = kinds, sorted(kinds, key=WorkerState.assignment_key)
             node_count, loads = self.settings.node_count, [0] * self.settings.node_count
             for rank, worker in enumerate(self.assignment_order):
-                turn, max_load = 0, rank // node_count + 1
-                while loads[node := worker.candidate_node(turn, node_count)] >= max_load:
-                    turn += 1
+                index, max_load = 0, rank // node_count + 1
+                while loads[node := worker.candidate_node(index, node_count)] >= max_load:
+                    index += 1
                 loads[node] += 1
                 worker.is_owned = node == self.settings.node_index
         for worker in self.assignment_order:
--- a/spanwing/scheduler_state.py
+++ b/spanwing/scheduler_state.py
@@ -102,13 +102,13 @@
         self.id_hash = self.id_hash or stable_hash(self.entry.id)
         return self.entry.kind, self.id_hash
 
-    def candidate_node(self, turn: int, count: int) -> int:
-        """Returns the `turn`-th candidate owner of this worker, from 0, among `count` schedulers."""
-        while turn >= len(self.candidate_nodes):
+    def candidate_node(self, index: int, count: int) -> int:
+        """Returns the candidate owner number `index` of this worker among `count` schedulers."""
+        while index >= len(self.candidate_nodes):
             self.candidate_nodes.append(
                 stable_hash(self.entry.id, FIRST_OWNER_SALT + len(self.candidate_nodes)) % count
             )
-        return self.candidate_nodes[turn]
+        return self.candidate_nodes[index]
 
 
 class TokenAccount:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -80,7 +80,7 @@
         self.timers += [(self.now + each.delay, each.token) for each in actions if isinstance(each, SetTimer)]
         return [each for each in actions if not isinstance(each, SetTimer)]
 
-    def ask(self, cls: str = "look", wait: float = 5000.0, **more) -> tuple[str, list[Action]]:
+    def submit(self, cls: str = "look", wait: float = 5000.0, **more) -> tuple[str, list[Action]]:
         """Submits a request with its deadline in `wait` ms; returns its id and the actions."""
         self.count += 1
         rid = f"r{self.count}"
--- a/tests/test_decision_digests.py
+++ b/tests/test_decision_digests.py
@@ -64,8 +64,10 @@
     def __init__(self, options: dict, seed: int, now: float) -> None:
         self.scheduler = Scheduler(scheduler_settings(msgspec.convert(options, PlatformSettings)), seed, now)
 
-    def handle(self, now: float, word: str, values: tuple) -> list[tuple]:
-        return [(WORDS[type(each)], *each) for each in self.scheduler.handle(now, EVENTS[word](*values))]
+    def handle(self, now: float, event_name: str, values: tuple) -> list[tuple]:
+        return [
+            (WORDS[type(each)], *each) for each in self.scheduler.handle(now, EVENTS[event_name](*values))
+        ]
 
 
 # -- no identifiers of the program below
@@ -234,10 +236,10 @@
         self.count += 1
         heappush(self.scheduled, (self.now + wait, self.count, act, values))
 
-    def feed(self, word: str, *values) -> None:
+    def feed(self, event_name: str, *values) -> None:
         """Handles an event, digests the actions and responds to them."""
         self.events_left -= 1
-        actions = self.scheduler.handle(self.now, word, values)
+        actions = self.scheduler.handle(self.now, event_name, values)
         self.digest.update(f"{self.now!r} {actions!r}\n".encode())
         for name, *rest in actions:
             getattr(self, f"on_{name}")(*rest)
@@ -394,9 +396,9 @@
         else:
             self.call_after(wait + service_ms, self.end_attempt, rid, number, attempt, "ok", worker)
 
-    def feed_for_attempt(self, word: str, rid: str, number: int, attempt: list) -> None:
+    def feed_for_attempt(self, event_name: str, rid: str, number: int, attempt: list) -> None:
         if not attempt[1]:
-            self.feed(word, rid, number, attempt[0])
+            self.feed(event_name, rid, number, attempt[0])
 
     def report_progress(self, rid: str, number: int, attempt: list) -> None:
         if attempt[1]:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -35,7 +35,7 @@
     """Submits jobs until `slots` slots are in use; returns request id and worker of each."""
     sent = []
     for _ in range(slots):
-        rid, actions = driver.ask("bill", **more)
+        rid, actions = driver.submit("bill", **more)
         sent += [(rid, each.worker) for each in sends(actions)]
     assert len(sent) == slots
     return sent
@@ -45,7 +45,7 @@
     driver = Driver(workers=1)
     driver.now = 100.0
     busy = fill(driver, 4)
-    rid, actions = driver.ask("book")
+    rid, actions = driver.submit("book")
     assert not sends(actions)  # four slots are assumed
     assert [each.request for each in sends(driver.end(*busy[0][:1], 0, 1, "ok"))] == [rid]
 
@@ -54,42 +54,42 @@
     driver = Driver(settings(tenants=tenants(heavy=10.0, light=10.0)), workers=1)
     driver.now = 2000.0
     busy = fill(driver, 4, tenant="heavy")
-    first, _ = driver.ask("look", tenant="heavy")
-    second, _ = driver.ask("look", tenant="light")
+    first, _ = driver.submit("look", tenant="heavy")
+    second, _ = driver.submit("look", tenant="light")
     released = driver.end(busy[0][0], 0, 1, "ok") + driver.end(busy[1][0], 0, 1, "ok")
     assert [each.request for each in sends(released)] == [second, first]
 
 
 def test_tenant_without_tokens_still_gets_an_idle_slot():
     driver = Driver(settings(tenants=tenants(x=0.0)), workers=1)
-    assert sends(driver.ask("look", tenant="x")[1])
+    assert sends(driver.submit("look", tenant="x")[1])
 
 
 def test_arrivals_over_quota_are_queued_behind_those_within():
     driver = Driver(settings(tenants=tenants(x=1.0, y=1.0), over_quota_weight=0.05), workers=1)
     busy = fill(driver, 4, tenant="x")  # more than the quota of x
-    over, _ = driver.ask("look", tenant="x")
-    within, _ = driver.ask("look", tenant="y")
+    over, _ = driver.submit("look", tenant="x")
+    within, _ = driver.submit("look", tenant="y")
     assert [each.request for each in sends(driver.end(busy[0][0], 0, 1, "ok"))] == [within]
     assert [each.request for each in sends(driver.end(busy[1][0], 0, 1, "ok"))] == [over]
 
 
 def test_capacity_is_learned_from_reports_and_from_full():
     driver = Driver(settings(report_fields=("inflight", "queue", "free_slots")), workers=1)
-    rid, _ = driver.ask("look")
+    rid, _ = driver.submit("look")
     driver.end(rid, 0, 1, "ok", report=(0.0, 0.0, 2.0))
-    assert len(sends([a for _ in range(4) for a in driver.ask("bill")[1]])) == 2
+    assert len(sends([a for _ in range(4) for a in driver.submit("bill")[1]])) == 2
     driver = Driver(workers=1)
     busy = fill(driver, 4)
     driver.end(busy[0][0], 0, 1, "full")
-    assert not driver.ask("bill")[1]  # full: nothing is sent until jobs of other schedulers may have ended
+    assert not driver.submit("bill")[1]  # full: nothing is sent until jobs of other schedulers may have ended
 
 
 @pytest.mark.parametrize("result", ["error", "full", "timeout", "unreachable", "reset", "cancelled", "moot"])
 @pytest.mark.parametrize("cls", ["look", "book", "bill"])
 def test_attempt_is_retried_by_result_and_idempotency(cls, result):
     driver = Driver(workers=3)
-    rid, actions = driver.ask(cls)
+    rid, actions = driver.submit(cls)
     after = driver.end(rid, 0, sends(actions)[0].worker, result) + driver.run(900.0)
     never_ran = result in ("full", "unreachable", "moot")
     if cls == "bill" and not never_ran:
@@ -100,7 +100,7 @@
 
 def test_keyed_request_is_retried_only_within_its_deduplication_window():
     driver = Driver(workers=2)
-    rid, actions = driver.ask("book", wait=9000.0)
+    rid, actions = driver.submit("book", wait=9000.0)
     driver.now = KEYED.deduplication_window_ms + 1.0
     after = driver.end(rid, 0, sends(actions)[0].worker, "error")
     after += driver.run(9100.0)
@@ -109,42 +109,42 @@
 
 def test_request_is_answered_by_its_deadline_without_any_worker():
     driver = Driver()
-    rid, actions = driver.ask("bill", wait=1000.0)
+    rid, actions = driver.submit("bill", wait=1000.0)
     assert not sends(actions) and Reject(rid) in driver.run(1000.0 + driver.scheduler.settings.answer_grace)
 
 
 def test_nothing_is_sent_to_a_draining_worker():
     driver = Driver(workers=1)
     driver.feed(WorkerList("partial", (Worker(1, "draining"),)))
-    assert not sends(driver.ask("look")[1])
+    assert not sends(driver.submit("look")[1])
     driver.feed(WorkerList("complete", ()))
-    assert not sends(driver.ask("look")[1])
+    assert not sends(driver.submit("look")[1])
 
 
 def test_hung_worker_is_ejected_and_its_repeatable_job_is_cancelled():
     """A worker that accepts jobs and answers none must not get more of them."""
     driver = Driver(workers=2)
-    rid, actions = driver.ask("look")
+    rid, actions = driver.submit("look")
     hung = sends(actions)[0].worker
     assert Cancel(rid, 0) in driver.run(4 * 2 * SAFE.latency_objective_ms + 100.0)
-    assert all(each.worker != hung for _ in range(3) for each in sends(driver.ask("bill")[1]))
+    assert all(each.worker != hung for _ in range(3) for each in sends(driver.submit("bill")[1]))
 
 
 def test_ejected_worker_returns_with_one_job_at_a_time():
     """A worker that fails fast looks idle, and would attract all requests."""
     driver = Driver(workers=1)
-    rid, _ = driver.ask("bill")
+    rid, _ = driver.submit("bill")
     driver.end(rid, 0, 1, "error")
-    assert not sends(driver.ask("bill")[1])
+    assert not sends(driver.submit("bill")[1])
     driver.run(1300.0)
-    assert len(sends([a for _ in range(3) for a in driver.ask("bill")[1]])) <= 1
+    assert len(sends([a for _ in range(3) for a in driver.submit("bill")[1]])) <= 1
 
 
 @pytest.mark.parametrize("cls, moves", [("look", True), ("book", True), ("bill", False)])
 def test_job_queued_at_a_worker_is_cancelled_for_an_idle_slot_elsewhere(cls, moves):
     """It is sent again once the cancelled attempt has ended. A non-idempotent job is never moved."""
     driver = Driver(settings(tells_start=True, max_attempts=3), workers=2)
-    rid, actions = driver.ask(cls)
+    rid, actions = driver.submit(cls)
     first = sends(actions)[0].worker
     assert (Cancel(rid, 0) in driver.run(100.0)) is moves
     if moves:
@@ -154,7 +154,7 @@
 def test_worker_with_a_queue_is_not_ejected_as_silent():
     """With forty schedulers each hears from a worker seldom, so a long queue looked like a hung worker."""
     driver = Driver(settings(tells_start=True), workers=1)
-    rid, _ = driver.ask("bill")
+    rid, _ = driver.submit("bill")
     driver.now = 5.0
     driver.feed(Accepted(rid, 0, 1))
     driver.run(2600.0)  # four mean service times without any further report
@@ -163,10 +163,10 @@
 
 def test_worker_that_does_not_accept_a_job_is_ejected_and_the_repeatable_job_is_cancelled():
     driver = Driver(settings(), workers=2)
-    rid, actions = driver.ask("bill")
+    rid, actions = driver.submit("bill")
     driver.feed(Accepted(rid, 0, sends(actions)[0].worker))
     driver.end(rid, 0, sends(actions)[0].worker, "ok")
-    rid, actions = driver.ask("book")
+    rid, actions = driver.submit("book")
     hung = sends(actions)[0].worker
     assert Cancel(rid, 0) in driver.run(700.0)
     assert [each.worker for each in sends(driver.end(rid, 0, hung, "cancelled"))] == [3 - hung]
@@ -174,9 +174,9 @@
 
 def test_hash_ring_is_built_only_when_a_sticky_key_arrives():
     driver = Driver(workers=50)
-    driver.ask("look")
+    driver.submit("look")
     assert not driver.scheduler.hash_ring
-    driver.ask("look", sticky_key="a")
+    driver.submit("look", sticky_key="a")
     assert driver.scheduler.hash_ring
 
 
@@ -195,7 +195,7 @@
     """Forty schedulers that guess at the same idle slot overload each other's owned workers."""
     driver = Driver(settings(node_count=40, node_index=7, **PROBED), workers=60)
     owned = {worker.entry.id for worker in driver.scheduler.owned_workers}
-    actions = [each for _ in range(20) for each in driver.ask("look")[1]]
+    actions = [each for _ in range(20) for each in driver.submit("look")[1]]
     assert {each.worker for each in sends(actions)} == owned
     probed = probes(actions)
     assert probed and not set(probed) & owned
@@ -203,18 +203,18 @@
     assert {each.worker for each in sends(answer_probe(driver, probed[1], 2.0))} == {probed[1]}
     driver.run(driver.now + 110.0)
     # The observation is stale by now.
-    assert probed[1] not in {each.worker for each in sends(driver.ask("look")[1])}
+    assert probed[1] not in {each.worker for each in sends(driver.submit("look")[1])}
 
 
 def test_non_idempotent_job_waits_for_a_probe_of_an_owned_worker_but_not_for_long():
     driver = Driver(settings(**PROBED), workers=1)
     driver.now = 50.0
-    rid, actions = driver.ask("bill")
+    rid, actions = driver.submit("bill")
     assert not sends(actions) and probes(actions) == [1]
     assert [each.request for each in sends(answer_probe(driver, 1, 3.0))] == [rid]
     driver.feed(ProgressReport(rid, 0, 1, True))
     driver.now += 500.0
-    rid, actions = driver.ask("bill")
+    rid, actions = driver.submit("bill")
     assert not sends(actions) and probes(actions) == [1]
     assert [each.request for each in sends(driver.run(driver.now + 150.0))] == [rid]  # no probe result came
 
@@ -223,7 +223,7 @@
     driver = Driver(settings(node_count=40, **PROBED), workers=60)
     actions = []
     for _ in range(100):
-        actions += driver.ask("look")[1] + driver.run(driver.now + 50.0)
+        actions += driver.submit("look")[1] + driver.run(driver.now + 50.0)
     assert 50 <= len(probes(actions)) <= 101
 
 
@@ -246,7 +246,7 @@
 
 def test_non_idempotent_attempt_in_flight_is_never_repeated():
     driver = Driver(settings(tells_start=True), workers=2)
-    driver.ask("bill")
+    driver.submit("bill")
     assert not sends(driver.run(4000.0))
 
 
@@ -270,7 +270,7 @@
             )
             driver.now = 10.0 + 37.0 * (n % 20)
             driver.feed(WorkerList("complete", (Worker(1000 + worker, started=10.0),)))
-            work += sum(600.0 * len(sends(driver.ask("look")[1])) for _ in range(10))
+            work += sum(600.0 * len(sends(driver.submit("look")[1])) for _ in range(10))
         fed.append(work > 0)
         assert work <= budget * 1.1  # its capacity has grown by a tenth when the last scheduler learns of it
     assert sum(fed) >= 0.8 * len(fed)
@@ -297,7 +297,7 @@
         answer_probe(driver, 1, 5.0)
         driver.now = 50.0
         driver.feed(WorkerList("complete", (Worker(1000, started=40.0),)))
-        sent.append(sum(len(sends(driver.ask("look")[1])) for _ in range(10)))
+        sent.append(sum(len(sends(driver.submit("look")[1])) for _ in range(10)))
     assert sent == [2] * 4
 
 
@@ -320,7 +320,7 @@
             driver.scheduler.__init__(driver.scheduler.settings, n, started)
             driver.feed(WorkerList("persisted", (Worker(1000, started=50.0),)))
             for _ in range(20):
-                rid, actions = driver.ask("look")
+                rid, actions = driver.submit("look")
                 work += 200.0 * len(sends(actions))
                 for each in sends(actions):
                     driver.end(rid, 0, each.worker, "ok")
@@ -336,7 +336,7 @@
 
 def test_unknown_and_repeated_ids_are_ignored():
     driver = Driver(workers=1)
-    rid, _ = driver.ask("look")
+    rid, _ = driver.submit("look")
     assert driver.end(rid, 0, 1, "ok") == [] == driver.end(rid, 0, 1, "ok")
     assert driver.end("none", 3, 77, "error") == [] == driver.feed(ProgressReport("none", 0, 77, True))
 
@@ -346,7 +346,7 @@
     request must not end the second.
     """
     driver = Driver()
-    rid, _ = driver.ask("bill", wait=250.0)
+    rid, _ = driver.submit("bill", wait=250.0)
     driver.feed(ClientGone(rid))
     driver.feed(Request(rid, "bill", driver.now + 290.0))
     assert driver.run(260.0) == []
@@ -359,7 +359,7 @@
     driver = Driver(settings(node_count=50), workers=1000)
     assert len(driver.scheduler.owned_workers) == 20
     for _ in range(300):
-        rid, actions = driver.ask("look")
+        rid, actions = driver.submit("look")
         for each in sends(actions):
             driver.end(rid, 0, each.worker, "ok")
     driver.run(30000.0)
@@ -377,7 +377,7 @@
     workers = set()
     for n in range(6):
         driver = Driver(settings(node_count=6, node_index=n), workers=30, seed=n)
-        workers |= {each.worker for each in sends(driver.ask("look", sticky_key="series/7")[1])}
+        workers |= {each.worker for each in sends(driver.submit("look", sticky_key="series/7")[1])}
     assert len(workers) == 1
 
 
@@ -420,7 +420,7 @@
 def test_tokens_are_earned_as_time_passes():
     driver = Driver(settings(tenants=tenants(x=2.0)), workers=1)
     driver.now = 3000.0
-    driver.ask("look", tenant="x")
+    driver.submit("look", tenant="x")
     account = driver.scheduler.token_accounts["x"]
     assert math.isclose(account.earned, 6.0) and account.spent == 1.0
 
@@ -429,10 +429,10 @@
     """In order of arrival an overloaded queue serves every job just too late (incident i6dc0d4)."""
     driver = Driver(workers=1)
     busy = fill(driver, 4)
-    worthless, _ = driver.ask("look")  # late_weight 0: rejected at its latency objective
-    old, _ = driver.ask("book")
+    worthless, _ = driver.submit("look")  # late_weight 0: rejected at its latency objective
+    old, _ = driver.submit("book")
     assert Reject(worthless) in driver.run(SAFE.latency_objective_ms + 30.0)
-    new, _ = driver.ask("book")
+    new, _ = driver.submit("book")
     released = driver.end(busy[0][0], 0, 1, "ok") + driver.end(busy[1][0], 0, 1, "ok")
     assert [each.request for each in sends(released)] == [new, old]
 
@@ -442,13 +442,13 @@
     free for minutes.
     """
     driver = Driver(settings(tells_start=True), workers=1)
-    first, _ = driver.ask("look")
+    first, _ = driver.submit("look")
     driver.run(200.0)  # it has not started: the slots count as foreign load
     driver.end(first, 0, 1, "timeout", complete=True)
-    assert not sends(driver.ask("bill")[1])
-    safe, actions = driver.ask("look", wait=60000.0)
+    assert not sends(driver.submit("bill")[1])
+    safe, actions = driver.submit("look", wait=60000.0)
     actions += driver.run(10000.0)
     sent = [each.request for each in sends(actions)]
     assert sent == [] or safe in sent
-    late, actions = driver.ask("look")
+    late, actions = driver.submit("look")
     assert [each.request for each in sends(actions + driver.run(10100.0))] == [late]
--- a/tests/test_rules_random.py
+++ b/tests/test_rules_random.py
@@ -252,7 +252,7 @@
         driver.now = 50.0
         driver.feed(WorkerList("partial", (Worker(9, started=50.0),)))
         for _ in range(400):
-            _, actions = driver.ask("look", tenant="x")
+            _, actions = driver.submit("look", tenant="x")
             for each in sends(actions):
                 driver.end(each.request, each.attempt if hasattr(each, "attempt") else 0, each.worker, "ok")
                 sent_at_ms += [driver.now] if each.worker == 9 else []
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -249,7 +249,7 @@
         for each in (old, new):
             each.feed(cold)
         for _ in range(20):
-            sent.append(sum(isinstance(each, Send) for each in old.ask()[1]))
+            sent.append(sum(isinstance(each, Send) for each in old.submit()[1]))
         first = sum(sent)
         self.assertGreater(first, 0)
         stop_feeding(old.scheduler)
@@ -258,16 +258,16 @@
         new.now = old.now = 600.0
         # As other jobs end there the slots are free again, but the budget of the window is spent.
         new.scheduler.worker_states[1].foreign_slots = 0.0
-        again = sum(isinstance(each, Send) for _ in range(20) for each in new.ask()[1])
-        late = sum(isinstance(each, Send) for _ in range(20) for each in old.ask()[1])
+        again = sum(isinstance(each, Send) for _ in range(20) for each in new.submit()[1])
+        late = sum(isinstance(each, Send) for _ in range(20) for each in old.submit()[1])
         alone = Driver()
         alone.now = 100.0
         alone.feed(cold)
-        alone_sent = sum(isinstance(each, Send) for _ in range(20) for each in alone.ask()[1])
+        alone_sent = sum(isinstance(each, Send) for _ in range(20) for each in alone.submit()[1])
         for number in range(alone_sent):
             alone.end(f"r{number + 1}", 0, 1, "ok")
         alone.now = 600.0
-        alone_sent += sum(isinstance(each, Send) for _ in range(20) for each in alone.ask()[1])
+        alone_sent += sum(isinstance(each, Send) for _ in range(20) for each in alone.submit()[1])
         self.assertEqual(late, 0)
         self.assertLessEqual(first + again, alone_sent)
 
@@ -276,7 +276,7 @@
         from spanwing.hot_restart.state_transfer import RequestResumed, export_attempts, release_request
 
         old, new = Driver(workers=3), Driver(workers=3)
-        rid, actions = old.ask("bill")
+        rid, actions = old.submit("bill")
         worker = actions[0].worker
         job = old.scheduler.jobs[rid]
         told = export_attempts(job)
@@ -305,7 +305,7 @@
         from spanwing.hot_restart.state_transfer import RequestResumed, export_attempts, release_request
 
         old, new = Driver(), Driver(workers=1)
-        rid, _ = old.ask()
+        rid, _ = old.submit()
         job = old.scheduler.jobs[rid]
         told = export_attempts(job)
         release_request(old.scheduler, rid)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -211,7 +211,7 @@
         for worker in local.choose_workers_to_probe((zone,)):
             local.probe_finished(driver.now, worker, "ok")
         trial.start_trials(driver.scheduler, local.tries(driver.now, (zone,)), driver.now)
-        rid, actions = driver.ask()
+        rid, actions = driver.submit()
         worker = sends(actions)[0].worker
         local.attempt_sent(driver.now, worker, (rid, 0))
         result = "error" if self.WORKERS[worker - 1].zone == zone else "ok"
@@ -249,7 +249,7 @@
                 away = next(each.entry.id for each in driver.scheduler.remote_workers)
                 trial.start_trials(driver.scheduler, [away], driver.now)
                 driver.run(after)
-                sent = [each.worker for _ in range(2) for each in sends(driver.ask(cls)[1])]
+                sent = [each.worker for _ in range(2) for each in sends(driver.submit(cls)[1])]
                 self.assertEqual(sent.count(away), int(tried), sent)
 
     def test_a_cold_worker_gets_no_job_on_trial_beyond_its_feeders(self) -> None:
@@ -257,7 +257,7 @@
         away = next(each for each in driver.scheduler.remote_workers if not each.feeder_share)
         driver.feed(api.WorkerList("partial", (away.entry._replace(started=1.0, feeder_share=0.0),)))
         trial.start_trials(driver.scheduler, [away.entry.id], driver.now)
-        self.assertNotEqual(sends(driver.ask()[1])[0].worker, away.entry.id)
+        self.assertNotEqual(sends(driver.submit()[1])[0].worker, away.entry.id)
 
 
 class Words16(unittest.TestCase):
