--- a/spanwing/adapter.py
+++ b/spanwing/adapter.py
@@ -208,11 +208,14 @@
             raise FrameError(f"malformed {name}: too few fields")
 
     def _run_guarded(self, node_name: str, decide: Callable[[], list[api.Action] | None]) -> None:
-        """Runs decide() and encodes its actions; an exception is reported as Die with its text."""
+        """Runs decide() and encodes its actions.
+
+        An exception is reported to the simulator as Die with its text; its traceback goes to stderr.
+        """
         try:
             for action in decide() or ():
                 self.reply_lines.append(msgspec.json.encode(ACTION_ENCODERS[type(action)](node_name, action)))
-        except Exception as error:  # a fault of one node must not end the others
+        except Exception as error:
             traceback.print_exc(file=sys.stderr)
             self.reply_lines.append(
                 msgspec.json.encode(["Die", node_name, f"{type(error).__name__}: {error}"])
