--- a/spanwing/core/request_manager.py
+++ b/spanwing/core/request_manager.py
@@ -14,7 +14,6 @@
 
 from spanwing import interface as api
 from spanwing.actor import Actor
-from spanwing.choice import Dispatcher
 from spanwing.core.clock import Clock
 from spanwing.core.messages import (
     AttemptAccepted,
@@ -40,6 +39,7 @@
     ZoneRouting,
 )
 from spanwing.core.send_guard import SendGuard, SendRefusal
+from spanwing.scheduler import Scheduler
 
 DISCOVERY_SOURCE = "map"  # the directory of the workers that discovery names
 JOURNAL_RETRY_AFTER_MS = 1000.0  # Retry-After for work that the journal cannot record
@@ -82,17 +82,17 @@
     def __init__(self, settings: api.Settings, seed: int, clock: Clock) -> None:
         super().__init__()
         self.settings, self.clock = settings, clock
-        self.scheduler = Dispatcher(settings, seed, clock.now_ms())
-        self.safe_classes = {each.name for each in settings.classes if each.effect == "safe"}
-        self.unsafe_classes = {each.name for each in settings.classes if each.effect == "unsafe"}
+        self.scheduler = Scheduler(settings, seed, clock.now_ms())
+        self.safe_classes = {each.name for each in settings.classes if each.idempotency == "safe"}
+        self.unsafe_classes = {each.name for each in settings.classes if each.idempotency == "unsafe"}
         self.recorder: AttemptRecorder | None = None
         self.journal_retry_after_ms = min(JOURNAL_RETRY_AFTER_MS, settings.max_retry_after)
         self.directory: EndpointDirectory | None = None
         self.zone_routing: ZoneRouting | None = None
         self.policy_admission: PolicyAdmission | None = None
         # Schedulers of earlier policies decide to the end about the requests that they accepted.
-        self.retiring_schedulers: list[Dispatcher] = []
-        self.scheduler_by_request: dict[str, Dispatcher] = {}
+        self.retiring_schedulers: list[Scheduler] = []
+        self.scheduler_by_request: dict[str, Scheduler] = {}
         self.acting_scheduler = self.scheduler
         self.pending_requests: dict[str, PendingRequest] = {}
         self.in_flight: dict[tuple[str, int], InFlightAttempt] = {}
@@ -123,31 +123,31 @@
         """
         counts: dict[tuple[str, str], tuple[int, int]] = {}
         now_ms = self.clock.now_ms()
-        for worker in self.scheduler.views.values():
+        for worker in self.scheduler.worker_states.values():
             endpoint = worker.entry
             if endpoint.state != "gone":
                 listed, available = counts.get((endpoint.zone, endpoint.kind), (0, 0))
-                is_available = endpoint.state == "healthy" and worker.rest_until <= now_ms
+                is_available = endpoint.state == "healthy" and worker.ejected_until_ms <= now_ms
                 counts[endpoint.zone, endpoint.kind] = listed + 1, available + is_available
         return counts
 
     def pool_counts(self) -> tuple[int, int]:
         """Returns how many workers are listed, and how many of them are ejected now."""
         now_ms = self.clock.now_ms()
-        workers = [view for view in self.scheduler.views.values() if view.entry.state != "gone"]
-        return len(workers), sum(view.rest_until > now_ms for view in workers)
+        workers = [view for view in self.scheduler.worker_states.values() if view.entry.state != "gone"]
+        return len(workers), sum(view.ejected_until_ms > now_ms for view in workers)
 
     def queued_by_class(self) -> dict[str, tuple[int, float]]:
         """Returns by class the number of queued requests and the age of the oldest in ms; classes without
         queued requests are left out.
         """
-        if not self.scheduler.waiting:
+        if not self.scheduler.queued_count:
             return {}
         now_ms, queued = self.clock.now_ms(), {}
         for job in self.scheduler.jobs.values():
-            if job.held:
-                count, oldest_ms = queued.get(job.cls.name, (0, 0.0))
-                queued[job.cls.name] = count + 1, max(oldest_ms, now_ms - job.born)
+            if job.is_queued:
+                count, oldest_ms = queued.get(job.service_class.name, (0, 0.0))
+                queued[job.service_class.name] = count + 1, max(oldest_ms, now_ms - job.arrived_ms)
         return queued
 
     def unavailable_classes(self) -> dict[str, str]:
@@ -178,7 +178,7 @@
             self.idle_waiters.append(waiter)
         return waiter
 
-    def _dispatch_event(self, event: api.Event, scheduler: Dispatcher | None = None) -> None:
+    def _dispatch_event(self, event: api.Event, scheduler: Scheduler | None = None) -> None:
         previous, self.acting_scheduler = self.acting_scheduler, scheduler or self.scheduler
         for action in self.acting_scheduler.handle(self.clock.now_ms(), event):
             ACTION_HANDLERS[type(action)](self, action)
@@ -191,7 +191,7 @@
         for scheduler in (*self.retiring_schedulers, self.scheduler):
             self._dispatch_event(event, scheduler)
 
-    def _scheduler_of(self, request: str) -> Dispatcher:
+    def _scheduler_of(self, request: str) -> Scheduler:
         """Returns the scheduler that decides about this request."""
         return (
             self.scheduler_by_request.get(request, self.scheduler)
@@ -199,15 +199,15 @@
             else self.scheduler
         )
 
-    def switch_policy(self, settings: api.Settings, scheduler: Dispatcher) -> None:
+    def switch_policy(self, settings: api.Settings, scheduler: Scheduler) -> None:
         """Puts another policy into force within this turn of the loop: its scheduler decides about new
         requests, the previous one continues with those that it accepted.
         """
         previous = self.scheduler
         self.scheduler_by_request.update(
-            dict.fromkeys((*previous.jobs, *(request for request, _ in previous.open)), previous)
+            dict.fromkeys((*previous.jobs, *(request for request, _ in previous.open_attempts)), previous)
         )
-        if previous.jobs or previous.open:
+        if previous.jobs or previous.open_attempts:
             self.retiring_schedulers.append(previous)
         self.scheduler, self.settings = scheduler, settings
         self.journal_retry_after_ms = min(JOURNAL_RETRY_AFTER_MS, settings.max_retry_after)
@@ -219,9 +219,9 @@
         any.
         """
         class_effects = [
-            (each.name, each.effect)
+            (each.name, each.idempotency)
             for module in (*self.retiring_schedulers, self.scheduler)
-            for each in module.set.classes
+            for each in module.settings.classes
         ]
         self.unsafe_classes = {name for name, effect in class_effects if effect == "unsafe"}
         self.safe_classes = {name for name, effect in class_effects if effect == "safe"} - {
@@ -230,7 +230,7 @@
 
     def _drop_retired_schedulers(self) -> None:
         """Drops retiring schedulers all of whose requests have ended."""
-        remaining = [each for each in self.retiring_schedulers if each.jobs or each.open]
+        remaining = [each for each in self.retiring_schedulers if each.jobs or each.open_attempts]
         if len(remaining) < len(self.retiring_schedulers):
             self.retiring_schedulers = remaining
             self.scheduler_by_request = {
@@ -295,7 +295,7 @@
     def _is_open(self, request: str) -> bool:
         return request in self.pending_requests or any(
             (request, number) in self.in_flight
-            for number in range(self._scheduler_of(request).set.max_attempts)
+            for number in range(self._scheduler_of(request).settings.max_attempts)
         )
 
     def open_ids(self) -> set[str]:
@@ -306,7 +306,7 @@
         """Returns a request's attempts in flight, with their numbers."""
         return [
             (number, self.in_flight[request, number])
-            for number in range(self._scheduler_of(request).set.max_attempts)
+            for number in range(self._scheduler_of(request).settings.max_attempts)
             if (request, number) in self.in_flight
         ]
 
@@ -410,7 +410,7 @@
     def _handle_progress(self, message: AttemptProgress) -> None:
         attempt = self.in_flight.get((message.request, message.number))
         if attempt is not None:
-            event = api.Note(message.request, message.number, attempt.worker, message.has_started)
+            event = api.ProgressReport(message.request, message.number, attempt.worker, message.has_started)
             self._dispatch_event(event, self._scheduler_of(message.request))
 
     def _handle_accepted(self, message: AttemptAccepted) -> None:
@@ -500,7 +500,7 @@
             timer,
             follows_list=action.worker in self.connections_by_source.get(DISCOVERY_SOURCE, ()),
         )
-        if timeout_ms <= 0 or number >= self.acting_scheduler.set.max_attempts or connection is None:
+        if timeout_ms <= 0 or number >= self.acting_scheduler.settings.max_attempts or connection is None:
             self.post(AttemptEnded(*key, "moot"))
             return
         may_send = self.guard.permit(action.request, number, connection.name)
@@ -554,10 +554,11 @@
         """
         pending.may_have_run = True
         scheduler = self._scheduler_of(pending.request.id)
-        for each in scheduler.set.classes:
-            if each.name == pending.request.cls and each.effect == "keyed":
+        for each in scheduler.settings.classes:
+            if each.name == pending.request.cls and each.idempotency == "keyed":
                 pending.send_until_ms = min(
-                    pending.send_until_ms, forwarded_ms + each.window - scheduler.set.tick
+                    pending.send_until_ms,
+                    forwarded_ms + each.deduplication_window_ms - scheduler.settings.tick_ms,
                 )
 
     def follows_list(self, request: str, number: int) -> bool:
@@ -670,7 +671,7 @@
     def _log_line(self, action: api.Log) -> None:
         log.info("%s", action.line)
 
-    def _broadcast_to_peers(self, action: api.TellPeers) -> None:
+    def _broadcast_to_peers(self, action: api.BroadcastToPeers) -> None:
         log.warning("peers cannot be told here: %s", action.payload)
 
 
@@ -692,12 +693,12 @@
     api.Send: RequestManager._forward,
     api.Cancel: RequestManager._handle_cancel,
     api.Probe: RequestManager._handle_probe,
-    api.Refuse: lambda self, a: self._answer_request(
+    api.Reject: lambda self, a: self._answer_request(
         a.request, FinalAnswer("refused", retry_after_ms=a.retry_after)
     ),
     api.Fail: lambda self, a: self._answer_request(a.request, FinalAnswer("failed")),
     api.SetTimer: RequestManager._set_timer,
     api.Log: RequestManager._log_line,
-    api.TellPeers: RequestManager._broadcast_to_peers,
+    api.BroadcastToPeers: RequestManager._broadcast_to_peers,
     api.Watch: lambda self, _: self.directory.watch(),
 }
--- a/spanwing/daemon.py
+++ b/spanwing/daemon.py
@@ -164,7 +164,7 @@
         self.request_manager.guard.is_list_stale = discovery.is_stale
         self.request_manager.guard.list_breaks_rule = discovery.breaks_rule
         # Whatever the scheduler asks for: until the first answer nothing is sent by the persisted list.
-        spread_s = start_spread_s(settings.nodes) if settings.subscribe else 0.0
+        spread_s = start_spread_s(settings.node_count) if settings.subscribe else 0.0
         discovery.watch(spread_s)
         platform_frontend = PlatformFrontend(
             settings.classes,
@@ -494,7 +494,7 @@
 
     def answer_window_s(self) -> float:
         """Returns how many seconds after SIGTERM an answer is certainly in time."""
-        longest_ms = max(each.deadline for each in self.request_manager.settings.classes)
+        longest_ms = max(each.deadline_ms for each in self.request_manager.settings.classes)
         return (min(longest_ms, MAX_DRAIN_DEADLINE_MS) + KILL_MARGIN_MS - ANSWER_MARGIN_MS) / 1000.0
 
     async def wait_until_settled(self) -> None:
--- a/spanwing/policy/service.py
+++ b/spanwing/policy/service.py
@@ -78,7 +78,7 @@
         self.follower = DocumentFollower(
             name,
             own_settings.zone,
-            own_settings.node,
+            own_settings.node_index,
             policy_settings.members,
             buffers,
             lambda: b"[{}]",
@@ -160,7 +160,7 @@
         self.resubmitted_requests = [each for each in self.resubmitted_requests if each is not submitted]
         decision = self.participant.decide_admission(clock_ms())
         if decision.action == "take" and decision.version == self.active_version.number:
-            if submitted.request.cls in self.request_manager.scheduler.index:
+            if submitted.request.cls in self.request_manager.scheduler.class_indexes:
                 return True
             self._reject(submitted)  # its class was removed while it waited
             return False
@@ -301,7 +301,7 @@
         for request, _ in self.request_manager.in_flight:
             job = self.request_manager._scheduler_of(request).jobs.get(request)
             if job is not None and request not in self.request_manager.pending_requests:
-                open_jobs[job.cls.name] += 1
+                open_jobs[job.service_class.name] += 1
         return find_objection(
             text,
             RunningState(
@@ -318,9 +318,9 @@
         It is the class's window while requests of the class are open.
         """
         return {
-            each.name: each.window
+            each.name: each.deduplication_window_ms
             for each in self.request_manager.settings.classes
-            if each.effect == "keyed"
+            if each.idempotency == "keyed"
             and any(call.request.cls == each.name for call in self.request_manager.pending_requests.values())
         }
 
--- a/spanwing/policy/state_transfer.py
+++ b/spanwing/policy/state_transfer.py
@@ -8,7 +8,6 @@
 from __future__ import annotations
 
 from spanwing import interface as api
-from spanwing.choice import Dispatcher
 from spanwing.hot_restart.state_transfer import (
     export_scheduler,
     export_worker,
@@ -16,33 +15,36 @@
     import_worker,
     stop_feeding,
 )
+from spanwing.scheduler import Scheduler
 
 
-def create_scheduler(settings: api.Settings, seed: int, now: float, previous: Dispatcher) -> Dispatcher:
+def create_scheduler(settings: api.Settings, seed: int, now: float, previous: Scheduler) -> Scheduler:
     """Returns a scheduler for the new settings, which knows no worker list yet (see known_workers)."""
-    scheduler = Dispatcher(settings, seed, now)
+    scheduler = Scheduler(settings, seed, now)
     import_scheduler(scheduler, export_scheduler(previous, None, ""), now)
-    for name, account in scheduler.ledgers.items():
-        previous_account = previous.ledgers.get(name)
-        if previous_account is not None and previous_account.rate > 0:
-            account.credit = previous_account.credit * account.rate / previous_account.rate
-            account.earned = previous_account.earned * account.rate / previous_account.rate
+    for name, account in scheduler.token_accounts.items():
+        previous_account = previous.token_accounts.get(name)
+        if previous_account is not None and previous_account.quota_per_s > 0:
+            account.burst_allowance = (
+                previous_account.burst_allowance * account.quota_per_s / previous_account.quota_per_s
+            )
+            account.earned = previous_account.earned * account.quota_per_s / previous_account.quota_per_s
     return scheduler
 
 
-def known_workers(previous: Dispatcher) -> api.WorkerList:
+def known_workers(previous: Scheduler) -> api.WorkerList:
     """Returns the former scheduler's worker list, without workers that are gone."""
-    entries = (view.entry for view in previous.views.values() if view.entry.state != "gone")
+    entries = (view.entry for view in previous.worker_states.values() if view.entry.state != "gone")
     return api.WorkerList("persisted", tuple(entries))
 
 
-def transfer_worker_estimates(scheduler: Dispatcher, previous: Dispatcher, now: float) -> None:
+def transfer_worker_estimates(scheduler: Scheduler, previous: Scheduler, now: float) -> None:
     """Copies each worker's estimates; the former scheduler stops feeding.
 
     Called once the new scheduler has the worker list.
     """
-    for worker, worker_state in scheduler.views.items():
-        previous_state = previous.views.get(worker)
+    for worker, worker_state in scheduler.worker_states.items():
+        previous_state = previous.worker_states.get(worker)
         if previous_state is not None:
             import_worker(worker_state, export_worker(previous_state), now)
     stop_feeding(previous)
--- a/spanwing/simulation/fleet.py
+++ b/spanwing/simulation/fleet.py
@@ -148,13 +148,13 @@
         classes = tuple(
             api.ServiceClass(
                 each.name,
-                aim=each.latency_objective_ms,
-                deadline=each.deadline_ms,
-                worth=each.priority_weight,
-                effect=each.idempotency,
-                late_worth=each.late_weight,
-                stretch=each.objective_stretch,
-                window=each.deduplication_window_ms,
+                latency_objective_ms=each.latency_objective_ms,
+                deadline_ms=each.deadline_ms,
+                priority_weight=each.priority_weight,
+                idempotency=each.idempotency,
+                late_weight=each.late_weight,
+                objective_stretch=each.objective_stretch,
+                deduplication_window_ms=each.deduplication_window_ms,
                 kind=each.worker_kind,
                 priority=each.priority,
             )
@@ -166,8 +166,8 @@
         tenants = tuple(api.Tenant(each.name, each.quota) for each in self.plan.tenants if each.quota < 1e9)
         return api.Settings(
             classes=classes,
-            node=scheduler_index,
-            nodes=len(self.plan.schedulers),
+            node_index=scheduler_index,
+            node_count=len(self.plan.schedulers),
             zone=zone,
             zones=all_zones,
             cancel=True,
@@ -175,19 +175,19 @@
             max_retry_after=2000.0,
             answer_grace=16.0,
             tells_start=True,
-            tick=4.0,
+            tick_ms=4.0,
             tenants=tenants,
-            over_share_worth=0.1 if tenants else 1.0,
+            over_quota_weight=0.1 if tenants else 1.0,
             probes=True,
             report_fields=("latency", "queue", "free_slots", "free_memory"),
             preempts=any(each.preempts for each in worker_specs),
-            cold_from=min((each.initial_capacity for each in warming_specs), default=1.0),
-            cold_ms=max((each.slow_start_ms for each in warming_specs), default=0.0),
-            fall_multiple=min(
+            slow_start_initial_fraction=min((each.initial_capacity for each in warming_specs), default=1.0),
+            slow_start_ms=max((each.slow_start_ms for each in warming_specs), default=0.0),
+            overload_multiple=min(
                 (each.overload_multiple for each in warming_specs if each.overload_multiple < 1e9),
                 default=1.0,
             ),
-            fall_ms=max((each.overload_window_ms for each in warming_specs), default=0.0),
+            overload_window_ms=max((each.overload_window_ms for each in warming_specs), default=0.0),
         )
 
     def run(self, day_end_ms: float) -> None:
@@ -283,7 +283,7 @@
                 generated.tenant,
                 generated.slots,
                 generated.class_spec.memory,
-                repeat=submission_number > 1,
+                is_repeat=submission_number > 1,
             )
         )
 
@@ -668,7 +668,9 @@
             self.schedulers_believed_up.remove(previous)
         self.schedulers_believed_up.append(restarted)
         restarted.receive_event(
-            api.WorkerList("persisted", tuple(view.entry for view in previous.decision_module.views.values()))
+            api.WorkerList(
+                "persisted", tuple(view.entry for view in previous.decision_module.worker_states.values())
+            )
         )
         # What it has missed arrives with its first poll of discovery.
         self.event_queue.schedule_after(
--- a/spanwing/simulation/scheduler.py
+++ b/spanwing/simulation/scheduler.py
@@ -13,7 +13,7 @@
 from typing import Any, Protocol
 
 from spanwing import interface as api
-from spanwing.choice import Dispatcher
+from spanwing.scheduler import Scheduler
 from spanwing.simulation.event_queue import EventQueue, ScheduledCall
 
 TIMEOUT_MARGIN_MS = 1.0  # as in the core: an attempt times out this long before the client's deadline
@@ -101,7 +101,7 @@
         environment: SchedulerEnvironment,
     ) -> None:
         self.name, self.zone, self.event_queue, self.environment = name, zone, event_queue, environment
-        self.decision_module = Dispatcher(settings, seed, event_queue.now_ms)
+        self.decision_module = Scheduler(settings, seed, event_queue.now_ms)
         self.settings, self.seed = settings, seed
         self.pending_requests: dict[str, SimulatedRequest] = {}
         self.open_attempts: dict[tuple[str, int], SimulatedAttempt] = {}
@@ -194,7 +194,7 @@
         """Notifies the decision module of progress of an attempt, if it is open."""
         attempt = self.open_attempts.get((request_id, attempt_number))
         if attempt is not None:
-            self.receive_event(api.Note(request_id, attempt_number, attempt.worker_id, has_started))
+            self.receive_event(api.ProgressReport(request_id, attempt_number, attempt.worker_id, has_started))
 
     def attempt_accepted(self, request_id: str, attempt_number: int) -> None:
         """Notifies the decision module that the worker accepted an attempt."""
@@ -220,7 +220,7 @@
                 self._forward(action)
             case api.Cancel():
                 self._cancel_attempt(action.request, action.attempt, "cancelled")
-            case api.Refuse():
+            case api.Reject():
                 self._send_answer(action.request, "refused", action.retry_after)
             case api.Fail():
                 self._send_answer(action.request, "failed", 0.0)
@@ -240,9 +240,11 @@
         """Cancels an attempt if it is open, its request is unanswered and its class is `safe`."""
         if request_id in self.pending_requests and (request_id, attempt_number) in self.open_attempts:
             service_class = (
-                self.decision_module.jobs[request_id].cls if request_id in self.decision_module.jobs else None
+                self.decision_module.jobs[request_id].service_class
+                if request_id in self.decision_module.jobs
+                else None
             )
-            if service_class is not None and service_class.effect == "safe":
+            if service_class is not None and service_class.idempotency == "safe":
                 self._cancel_attempt(request_id, attempt_number, "cancelled")
 
     def _handle_timer(self, token: int) -> None:
--- a/spanwing/zones/agent.py
+++ b/spanwing/zones/agent.py
@@ -14,8 +14,8 @@
 from heapq import nlargest
 
 from spanwing import interface as api
-from spanwing.choice import Dispatcher
-from spanwing.state import View, mix
+from spanwing.scheduler import Scheduler
+from spanwing.scheduler_state import WorkerState, stable_hash
 from spanwing.zones.evidence import (
     FAULT_PROBE_INTERVAL_MS,
     EvidenceCollector,
@@ -104,16 +104,16 @@
         self.announced_workers.update((each.id, each) for each in changed)
         return changed
 
-    def restart_concurrency_limits(self, scheduler: Dispatcher) -> None:
+    def restart_concurrency_limits(self, scheduler: Scheduler) -> None:
         """Sets the limit of newly admitted workers to one request, as after a backoff.
 
         Such a worker first has to succeed on an idempotent request. Called once the scheduler has these
         workers.
         """
         for worker in self.newly_admitted:
-            worker_state = scheduler.views.get(worker)
+            worker_state = scheduler.worker_states.get(worker)
             if worker_state is not None and worker_state.entry.state == "healthy":
-                worker_state.limit = 1.0
+                worker_state.concurrency_limit = 1.0
         self.newly_admitted.clear()
 
     def _is_hashed_feeder(self, worker: int) -> bool:
@@ -128,7 +128,7 @@
             if len(self.first_positions) > 2 * len(self.routing_filter.workers) + 64:
                 self.first_positions.clear()
             self.first_positions[worker] = nlargest(
-                1, range(self.scheduler_count), key=lambda node: mix(worker, node)
+                1, range(self.scheduler_count), key=lambda node: stable_hash(worker, node)
             )[0]
         return self.first_positions[worker]
 
@@ -233,13 +233,15 @@
         return [*found, *self.background_probes]
 
     def build_evidence_report(
-        self, now: float, worker_states: Iterable[View], module_now: float
+        self, now: float, worker_states: Iterable[WorkerState], module_now: float
     ) -> EvidenceReport:
         """Returns the report for the next renewal; worker_states: the scheduler's."""
         return self.evidence_collector.build_report(now, slots_by_zone(worker_states, module_now))
 
 
-def slots_by_zone(worker_states: Iterable[View], module_now: float) -> Iterator[tuple[str, float, float]]:
+def slots_by_zone(
+    worker_states: Iterable[WorkerState], module_now: float
+) -> Iterator[tuple[str, float, float]]:
     """Yields zone, slots in flight and idle slots of each listed worker.
 
     Only owned workers that are not in backoff have idle slots.
@@ -249,13 +251,13 @@
             idle = (
                 max(
                     0.0,
-                    worker_state.total - worker_state.held - worker_state.others,
+                    worker_state.estimated_slots - worker_state.reserved_slots - worker_state.foreign_slots,
                 )
-                if worker_state.home
+                if worker_state.is_owned
                 else 0.0
             )
             yield (
                 worker_state.entry.zone,
-                float(worker_state.held),
-                idle if worker_state.rest_until <= module_now else 0.0,
+                float(worker_state.reserved_slots),
+                idle if worker_state.ejected_until_ms <= module_now else 0.0,
             )
--- a/spanwing/zones/unreachable_work.py
+++ b/spanwing/zones/unreachable_work.py
@@ -8,7 +8,7 @@
 
 from typing import NamedTuple
 
-from spanwing.choice import HANDLERS, Dispatcher
+from spanwing.scheduler import HANDLERS, Scheduler
 
 
 class ZoneUnreachable(NamedTuple):
@@ -17,17 +17,19 @@
     zone: str
 
 
-def _fail_unreachable_work(module: Dispatcher, event: ZoneUnreachable) -> None:
-    if not module.waiting:
+def _fail_unreachable_work(module: Scheduler, event: ZoneUnreachable) -> None:
+    if not module.queued_count:
         return
-    for job in [each for each in module.jobs.values() if each.held and each.cls.effect == "keyed"]:
-        attempts_maybe_run = [each for each in job.attempts if not each.proof]
+    for job in [
+        each for each in module.jobs.values() if each.is_queued and each.service_class.idempotency == "keyed"
+    ]:
+        attempts_maybe_run = [each for each in job.attempts if not each.never_ran]
         if (
             attempts_maybe_run
-            and job.cls.group != "all"
-            and all(each.view.entry.zone == event.zone for each in attempts_maybe_run)
+            and job.service_class.repeat_group != "all"
+            and all(each.worker.entry.zone == event.zone for each in attempts_maybe_run)
         ):
-            module._end(job)
+            module._finish_unserved(job)
 
 
 HANDLERS[ZoneUnreachable] = _fail_unreachable_work
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,10 +1,9 @@
-"""A driver for one dispatcher: feed events, look at actions."""
+"""Shared by the tests: a driver for one scheduler, which feeds it events and collects its actions."""
 
 from __future__ import annotations
 
 from hypothesis import settings as hypothesis_settings
 
-from spanwing.choice import Dispatcher
 from spanwing.interface import (
     Action,
     Event,
@@ -19,51 +18,70 @@
     Worker,
     WorkerList,
 )
+from spanwing.scheduler import Scheduler
 
-# The same verdict every time: the examples are those of a fixed seed, and none is kept between runs.
+# Reproducible results: examples come from a fixed seed, and none is kept between runs.
 hypothesis_settings.register_profile("same", derandomize=True, database=None, deadline=None)
 hypothesis_settings.load_profile("same")
 
-SAFE = ServiceClass("look", aim=300, deadline=5000, worth=2, stretch=1.5)
-KEYED = ServiceClass("book", aim=300, deadline=5000, worth=8, effect="keyed", window=4000, late_worth=0.5)
-UNSAFE = ServiceClass("bill", aim=300, deadline=5000, worth=3, effect="unsafe", late_worth=0.5)
+SAFE = ServiceClass(
+    "look", latency_objective_ms=300, deadline_ms=5000, priority_weight=2, objective_stretch=1.5
+)
+KEYED = ServiceClass(
+    "book",
+    latency_objective_ms=300,
+    deadline_ms=5000,
+    priority_weight=8,
+    idempotency="keyed",
+    deduplication_window_ms=4000,
+    late_weight=0.5,
+)
+UNSAFE = ServiceClass(
+    "bill",
+    latency_objective_ms=300,
+    deadline_ms=5000,
+    priority_weight=3,
+    idempotency="unsafe",
+    late_weight=0.5,
+)
 
 
 def settings(**changes) -> Settings:
-    """Settings of one node with the three kinds of class; changes by name."""
+    """Returns the settings of one scheduler with a class of each idempotency; changes by name."""
     base = dict(
         classes=(SAFE, KEYED, UNSAFE),
         cancel=True,
         max_attempts=5,
         answer_grace=16.0,
         drain_grace=500.0,
-        cold_from=0.2,
-        cold_ms=10000.0,
-        fall_multiple=3.0,
-        fall_ms=1000.0,
+        slow_start_initial_fraction=0.2,
+        slow_start_ms=10000.0,
+        overload_multiple=3.0,
+        overload_window_ms=1000.0,
     )
     return Settings(**{**base, **changes})
 
 
 class Driver:
-    """One dispatcher with its clock and its timers."""
+    """One scheduler with its clock and its timers."""
 
     def __init__(self, given: Settings | None = None, workers: int = 0, seed: int = 1) -> None:
-        self.now, self.due, self.count = 0.0, [], 0
+        self.now, self.timers, self.count = 0.0, [], 0
         self.tried: dict[str, int] = {}
-        self.seen: list[Action] = []
-        self.node = Dispatcher(given or settings(), seed, self.now)
+        self.actions: list[Action] = []
+        self.scheduler = Scheduler(given or settings(), seed, self.now)
         if workers:
             self.feed(WorkerList("persisted", tuple(Worker(n + 1) for n in range(workers))))
 
     def feed(self, event: Event) -> list[Action]:
-        actions = self.node.handle(self.now, event)
-        self.seen += actions
-        self.due += [(self.now + each.delay, each.token) for each in actions if isinstance(each, SetTimer)]
+        """Handles an event; returns its actions without timers, which run() fires."""
+        actions = self.scheduler.handle(self.now, event)
+        self.actions += actions
+        self.timers += [(self.now + each.delay, each.token) for each in actions if isinstance(each, SetTimer)]
         return [each for each in actions if not isinstance(each, SetTimer)]
 
-    def ask(self, cls: str = "look", wait: float = 5000.0, **more) -> tuple[str, list[Action]]:
-        """A new request; returns its id and the actions."""
+    def submit(self, cls: str = "look", wait: float = 5000.0, **more) -> tuple[str, list[Action]]:
+        """Submits a request with its deadline in `wait` ms; returns its id and the actions."""
         self.count += 1
         rid = f"r{self.count}"
         return rid, self.feed(Request(rid, cls, self.now + wait, **more))
@@ -71,22 +89,24 @@
     def end(
         self, rid: str, attempt: int, worker: int, result: str, complete: bool | None = None, report=None
     ):
+        """Ends an attempt; returns the actions."""
         complete = result == "ok" if complete is None else complete
         return self.feed(Outcome(rid, attempt, worker, result, complete, 100.0, report))
 
     def run(self, until: float) -> list[Action]:
-        """Let time pass; timers fire when due."""
-        out: list[Action] = []
-        while self.due and min(self.due)[0] <= until:
-            when, token = min(self.due)
-            self.due.remove((when, token))
+        """Advances the clock and fires the timers that are due; returns the actions."""
+        actions: list[Action] = []
+        while self.timers and min(self.timers)[0] <= until:
+            when, token = min(self.timers)
+            self.timers.remove((when, token))
             self.now = max(self.now, when)
-            out += self.feed(TimerDue(token))
+            actions += self.feed(TimerDue(token))
         self.now = max(self.now, until)
-        return out
+        return actions
 
 
 def tenants(**rates: float) -> tuple[Tenant, ...]:
+    """Returns tenants by name with their quotas per second."""
     return tuple(Tenant(name, rate) for name, rate in rates.items())
 
 
--- a/tests/golden_messages.py
+++ b/tests/golden_messages.py
@@ -19,7 +19,6 @@
 
 from spanwing import interface as api
 from spanwing import settings
-from spanwing.choice import Dispatcher
 from spanwing.core.messages import JobRequest
 from spanwing.discovery.client import DiscoveredEndpoints, DiscoveredWorker
 from spanwing.hot_restart import messages
@@ -29,7 +28,8 @@
 from spanwing.policy import coordinator as chair
 from spanwing.policy import policy_cache as kept
 from spanwing.policy import records as record
-from spanwing.state import Attempt, Job, View
+from spanwing.scheduler import Scheduler
+from spanwing.scheduler_state import Attempt, Job, WorkerState
 from spanwing.store import claims, document, peer
 from spanwing.store import leader as keeper
 from spanwing.store import messages as store_messages
@@ -362,49 +362,49 @@
     }
 
 
-def _view() -> View:
-    view = View(
+def _view() -> WorkerState:
+    view = WorkerState(
         entry=api.Worker(11),
-        owner=0.0,
-        total=4.5,
-        home=False,
-        learned=True,
-        held=2,
-        running=1,
-        memory=5.5,
-        peak=6.5,
-        no_raise=60.5,
-        others=1.5,
-        seen=90.5,
-        asked=95.5,
-        heard=80.5,
-        tells=False,
-        rest_until=70.5,
-        strikes=3,
-        limit=2.5,
-        size=7.5,
-        pace=1.25,
+        feeder_share=0.0,
+        estimated_slots=4.5,
+        is_owned=False,
+        slots_reported=True,
+        reserved_slots=2,
+        running_slots=1,
+        reserved_memory=5.5,
+        peak_running_slots=6.5,
+        capacity_fixed_until_ms=60.5,
+        foreign_slots=1.5,
+        last_observed_ms=90.5,
+        last_probed_ms=95.5,
+        last_heard_ms=80.5,
+        reports_progress=False,
+        ejected_until_ms=70.5,
+        ejection_count=3,
+        concurrency_limit=2.5,
+        max_weight=7.5,
+        relative_service_time=1.25,
     )
-    view.sent.append((50.5, 40.5))
+    view.recent_work.append((50.5, 40.5))
     return view
 
 
-def _unseen() -> View:
-    return View(api.Worker(12), 0.0, 4.5)
+def _unseen() -> WorkerState:
+    return WorkerState(api.Worker(12), 0.0, 4.5)
 
 
-def _dispatcher() -> Dispatcher:
-    cls = api.ServiceClass("schedule-apply", aim=300.0, deadline=5000.0)
+def _dispatcher() -> Scheduler:
+    cls = api.ServiceClass("schedule-apply", latency_objective_ms=300.0, deadline_ms=5000.0)
     told = api.Settings(
         (cls,), zone="galway", zones=("galway", "sligo"), tenants=(api.Tenant("corrib", 2.0),)
     )
-    module = Dispatcher(told, 1, 1.5)
+    module = Scheduler(told, 1, 1.5)
     (
-        module.work,
-        module.kinds,
-        module.busy,
-        module.keys,
-        module.accepts,
+        module.mean_service_ms,
+        module.slots_by_kind,
+        module.fleet_utilization,
+        module.sticky_share,
+        module.acceptance_reported,
     ) = (
         [2.5],
         {"large": 4.5},
@@ -412,23 +412,25 @@
         0.25,
         True,
     )
-    ledger = module.ledgers["corrib"]
-    ledger.earned, ledger.spent, ledger.credit = 1.5, 2.5, 3.5
+    ledger = module.token_accounts["corrib"]
+    ledger.earned, ledger.spent, ledger.burst_allowance = 1.5, 2.5, 3.5
     return module
 
 
 def _job() -> Job:
     request = api.Request("job-1", "schedule-apply", 25000.0)
-    job = Job(request, api.ServiceClass("schedule-apply", aim=300.0, deadline=5000.0), 0, 1.5)
+    job = Job(
+        request, api.ServiceClass("schedule-apply", latency_objective_ms=300.0, deadline_ms=5000.0), 0, 1.5
+    )
     job.attempts.append(
         Attempt(
             job=job,
-            view=_view(),
-            at=1.5,
-            open=False,
-            started=2.5,
-            noted=3.5,
-            proof=True,
+            worker=_view(),
+            forwarded_ms=1.5,
+            is_open=False,
+            started_ms=2.5,
+            last_progress_ms=3.5,
+            never_ran=True,
         )
     )
     return job
@@ -437,11 +439,11 @@
 def taken_over(workers: bytes, module: bytes) -> tuple[bytes, bytes]:
     """The state of a fresh module after it took over these two messages, told on in the same form."""
     told, of_all = messages.decode_message(workers), messages.decode_message(module)
-    fresh = Dispatcher(_dispatcher().set, 2, 0.0)
+    fresh = Scheduler(_dispatcher().settings, 2, 0.0)
     learned.import_scheduler(fresh, of_all, 0.0)
     views = []
     for seen in told.estimates:
-        view = View(api.Worker(seen.worker_id), 0.0, 1.0)
+        view = WorkerState(api.Worker(seen.worker_id), 0.0, 1.0)
         learned.import_worker(view, seen, 100.5)
         views.append(learned.export_worker(view))
     return (
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -219,9 +219,9 @@
     def test_pool_when_the_list_shrinks_and_a_worker_set_aside_leaves_and_comes_back(self) -> None:
         self.list(Worker(1), Worker(2), Worker(3, "draining"))
         self.assertEqual(self.core.pool_counts(), (3, 0))
-        view = self.core.scheduler.views[1]
+        view = self.core.scheduler.worker_states[1]
         self.core.scheduler.now = self.core.clock.now_ms()
-        self.core.scheduler._strike(view, "error")
+        self.core.scheduler._eject(view, "error")
         self.assertEqual(self.core.pool_counts(), (3, 1))
         self.list(Worker(2), Worker(3, "draining"))  # it left while it rested
         self.assertEqual(self.core.pool_counts(), (2, 0))
@@ -249,25 +249,25 @@
         for each in (old, new):
             each.feed(cold)
         for _ in range(20):
-            sent.append(sum(isinstance(each, Send) for each in old.ask()[1]))
+            sent.append(sum(isinstance(each, Send) for each in old.submit()[1]))
         first = sum(sent)
         self.assertGreater(first, 0)
-        stop_feeding(old.node)
-        import_scheduler(new.node, export_scheduler(old.node, 1, "x"), new.now)
-        import_worker(new.node.views[1], export_worker(old.node.views[1]), new.now)
+        stop_feeding(old.scheduler)
+        import_scheduler(new.scheduler, export_scheduler(old.scheduler, 1, "x"), new.now)
+        import_worker(new.scheduler.worker_states[1], export_worker(old.scheduler.worker_states[1]), new.now)
         new.now = old.now = 600.0
         # As other jobs end there the slots are free again, but the budget of the window is spent.
-        new.node.views[1].others = 0.0
-        again = sum(isinstance(each, Send) for _ in range(20) for each in new.ask()[1])
-        late = sum(isinstance(each, Send) for _ in range(20) for each in old.ask()[1])
+        new.scheduler.worker_states[1].foreign_slots = 0.0
+        again = sum(isinstance(each, Send) for _ in range(20) for each in new.submit()[1])
+        late = sum(isinstance(each, Send) for _ in range(20) for each in old.submit()[1])
         alone = Driver()
         alone.now = 100.0
         alone.feed(cold)
-        alone_sent = sum(isinstance(each, Send) for _ in range(20) for each in alone.ask()[1])
+        alone_sent = sum(isinstance(each, Send) for _ in range(20) for each in alone.submit()[1])
         for number in range(alone_sent):
             alone.end(f"r{number + 1}", 0, 1, "ok")
         alone.now = 600.0
-        alone_sent += sum(isinstance(each, Send) for _ in range(20) for each in alone.ask()[1])
+        alone_sent += sum(isinstance(each, Send) for _ in range(20) for each in alone.submit()[1])
         self.assertEqual(late, 0)
         self.assertLessEqual(first + again, alone_sent)
 
@@ -276,35 +276,43 @@
         from spanwing.hot_restart.state_transfer import RequestResumed, export_attempts, release_request
 
         old, new = Driver(workers=3), Driver(workers=3)
-        rid, actions = old.ask("bill")
+        rid, actions = old.submit("bill")
         worker = actions[0].worker
-        job = old.node.jobs[rid]
+        job = old.scheduler.jobs[rid]
         told = export_attempts(job)
-        release_request(old.node, rid)
+        release_request(old.scheduler, rid)
         self.assertEqual(
-            (old.node.views[worker].held, old.node.jobs, old.node.open),
+            (
+                old.scheduler.worker_states[worker].reserved_slots,
+                old.scheduler.jobs,
+                old.scheduler.open_attempts,
+            ),
             (0, {}, {}),
         )
-        actions = new.feed(RequestResumed(api.Request(rid, "bill", 5000.0), job.born, False, False, told))
+        actions = new.feed(
+            RequestResumed(api.Request(rid, "bill", 5000.0), job.arrived_ms, False, False, told)
+        )
         self.assertEqual(actions, [])  # an attempt is out: nothing is sent
-        self.assertEqual(new.node.views[worker].held, 1)
+        self.assertEqual(new.scheduler.worker_states[worker].reserved_slots, 1)
         # Its end is the old one's no more, and answers at the new one: what must not run twice goes no more.
         self.assertEqual(old.feed(Outcome(rid, 0, worker, "ok", True, 1.0)), [])
         self.assertEqual(new.end(rid, 0, worker, "reset")[-1], api.Fail(rid))
-        self.assertNotIn(api.Send, {type(each) for each in new.seen})
-        self.assertEqual(new.node.views[worker].held, 0)
+        self.assertNotIn(api.Send, {type(each) for each in new.actions})
+        self.assertEqual(new.scheduler.worker_states[worker].reserved_slots, 0)
 
     def test_a_held_request_goes_over_and_is_sent_there(self) -> None:
         from spanwing import interface as api
         from spanwing.hot_restart.state_transfer import RequestResumed, export_attempts, release_request
 
         old, new = Driver(), Driver(workers=1)
-        rid, _ = old.ask()
-        job = old.node.jobs[rid]
+        rid, _ = old.submit()
+        job = old.scheduler.jobs[rid]
         told = export_attempts(job)
-        release_request(old.node, rid)
-        self.assertEqual(old.node.waiting, 0)
-        actions = new.feed(RequestResumed(api.Request(rid, "look", 5000.0), job.born, False, False, told))
+        release_request(old.scheduler, rid)
+        self.assertEqual(old.scheduler.queued_count, 0)
+        actions = new.feed(
+            RequestResumed(api.Request(rid, "look", 5000.0), job.arrived_ms, False, False, told)
+        )
         self.assertEqual(actions, [api.Send(rid, 1)])
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -14,7 +14,7 @@
 from measure.fleet import simulated
 from measure.zoneday import play
 from spanwing import interface as api
-from spanwing.choice import Dispatcher
+from spanwing.scheduler import Scheduler
 from spanwing.store.document import Document, Transaction
 from spanwing.store.leader import Leader
 from spanwing.store.messages import Renew, RenewalGranted
@@ -199,10 +199,10 @@
     WORKERS = tuple(api.Worker(number, zone=zone) for number, zone in enumerate("aabbcc", 1))
 
     def scheduler(self, zone: str, node: int, **changes) -> tuple[ZoneAgent, Driver]:
-        driver = Driver(settings(zone=zone, node=node, nodes=3, **changes))
+        driver = Driver(settings(zone=zone, node_index=node, node_count=3, **changes))
         driver.feed(api.WorkerList("complete", self.WORKERS))
         rules = RoutingRules(f"s{node}.1", zone, 2000.0, 1000.0, 2)
-        local = ZoneAgent(rules, node, 3, driver.node.feeds, random.Random(node))
+        local = ZoneAgent(rules, node, 3, driver.scheduler.is_feeder, random.Random(node))
         local.filter_workers(api.WorkerList("complete", self.WORKERS), 0.0, 0.0, True)
         return local, driver
 
@@ -210,8 +210,8 @@
         """The keeper asks, and every worker answers probes; jobs fail in this zone alone."""
         for worker in local.choose_workers_to_probe((zone,)):
             local.probe_finished(driver.now, worker, "ok")
-        trial.start_trials(driver.node, local.tries(driver.now, (zone,)), driver.now)
-        rid, actions = driver.ask()
+        trial.start_trials(driver.scheduler, local.tries(driver.now, (zone,)), driver.now)
+        rid, actions = driver.submit()
         worker = sends(actions)[0].worker
         local.attempt_sent(driver.now, worker, (rid, 0))
         result = "error" if self.WORKERS[worker - 1].zone == zone else "ok"
@@ -246,18 +246,18 @@
         ):
             with self.subTest(cls=cls, max_attempts=max_attempts, after=after):
                 _, driver = self.scheduler("a", 0, max_attempts=max_attempts)
-                away = next(each.entry.id for each in driver.node.far)
-                trial.start_trials(driver.node, [away], driver.now)
+                away = next(each.entry.id for each in driver.scheduler.remote_workers)
+                trial.start_trials(driver.scheduler, [away], driver.now)
                 driver.run(after)
-                sent = [each.worker for _ in range(2) for each in sends(driver.ask(cls)[1])]
+                sent = [each.worker for _ in range(2) for each in sends(driver.submit(cls)[1])]
                 self.assertEqual(sent.count(away), int(tried), sent)
 
     def test_a_cold_worker_gets_no_job_on_trial_beyond_its_feeders(self) -> None:
         _, driver = self.scheduler("a", 0)
-        away = next(each for each in driver.node.far if not each.owner)
-        driver.feed(api.WorkerList("partial", (away.entry._replace(started=1.0, feeder=0.0),)))
-        trial.start_trials(driver.node, [away.entry.id], driver.now)
-        self.assertNotEqual(sends(driver.ask()[1])[0].worker, away.entry.id)
+        away = next(each for each in driver.scheduler.remote_workers if not each.feeder_share)
+        driver.feed(api.WorkerList("partial", (away.entry._replace(started=1.0, feeder_share=0.0),)))
+        trial.start_trials(driver.scheduler, [away.entry.id], driver.now)
+        self.assertNotEqual(sends(driver.submit()[1])[0].worker, away.entry.id)
 
 
 class Words16(unittest.TestCase):
@@ -376,7 +376,7 @@
         self.assertEqual(self.used(gate, lease=False), {1})
         for now, part in ((0.0, 0.5), (5499.0, 0.5), (5500.0, 1.0)):
             seen = gate.filter_workers(gate.workers.values(), now, True, lambda _: False)
-            self.assertEqual({each.id for each in seen if each.feeder == part}, mine)
+            self.assertEqual({each.id for each in seen if each.feeder_share == part}, mine)
 
     def test_who_is_dealt_anew_waits_and_who_stays_goes_on(self) -> None:
         deal = FeederAssignment(1, ["s2", "s3", "s4"], [], True)
@@ -430,13 +430,13 @@
     def test_keyed_work_of_a_zone_that_was_left_is_answered_at_once(self) -> None:
         cls = api.ServiceClass(
             "push",
-            aim=300,
-            deadline=5000,
-            effect="keyed",
-            group="zone",
-            window=4000,
+            latency_objective_ms=300,
+            deadline_ms=5000,
+            idempotency="keyed",
+            repeat_group="zone",
+            deduplication_window_ms=4000,
         )
-        node = Dispatcher(api.Settings(classes=(cls,), max_attempts=5, cancel=True), 1, 0.0)
+        node = Scheduler(api.Settings(classes=(cls,), max_attempts=5, cancel=True), 1, 0.0)
         node.handle(
             0.0,
             api.WorkerList("persisted", (api.Worker(1, zone="a"), api.Worker(2, zone="b"))),
