--- a/measure/fleet/simulated.py
+++ b/measure/fleet/simulated.py
@@ -32,7 +32,7 @@
 from spanwing.store.document import Document, Transaction, catch_up
 from spanwing.store.leader import Leader
 from spanwing.store.lease import Lease
-from spanwing.store.messages import Renew, RenewalGranted
+from spanwing.store.messages import Renew, RenewalReply
 from spanwing.zones.agent import ZoneAgent
 from spanwing.zones.controller import ListedWorker, ZoneController, ZoneLimits
 from spanwing.zones.routing_filter import RoutingRules
@@ -192,7 +192,7 @@
         if self.granted < n == self.renewals:
             self.renew()
 
-    def hear(self, granted: RenewalGranted) -> None:
+    def hear(self, granted: RenewalReply) -> None:
         before = self.document
         self.document = catch_up(before, granted.changes, granted.document)
         if self.document is not before:
@@ -319,8 +319,8 @@
         named = None if keeps is None else keeps.member
         keeper = next((each for each in self.members if each.name == named), None)
 
-        def answer(by: Member) -> Callable[[RenewalGranted], None]:
-            def told(granted: RenewalGranted) -> None:
+        def answer(by: Member) -> Callable[[RenewalReply], None]:
+            def told(granted: RenewalReply) -> None:
                 if scheduler.life == life:
                     self.tell(by, scheduler, lambda: scheduler.hear(granted))
 
--- a/spanwing/simulation/zone_fleet.py
+++ b/spanwing/simulation/zone_fleet.py
@@ -20,7 +20,7 @@
 from spanwing.store.document import Document, catch_up
 from spanwing.store.leader import LEADERSHIP_KEY, Leader, Leadership
 from spanwing.store.lease import Lease
-from spanwing.store.messages import Renew, RenewalGranted
+from spanwing.store.messages import Renew, RenewalReply
 from spanwing.zones import trial_requests as trial
 from spanwing.zones.agent import ZoneAgent
 from spanwing.zones.controller import ListedWorker, ZoneController, ZoneLimits
@@ -140,7 +140,7 @@
         if self.last_answered_renewal < renewal_number == self.last_renewal_number:
             self._send_renewal()
 
-    def handle_grant(self, grant: RenewalGranted) -> None:
+    def handle_grant(self, grant: RenewalReply) -> None:
         """Takes over the leader's answer to a renewal: the lease, the document and zones to probe."""
         if not self.scheduler.is_up:
             return
@@ -430,7 +430,7 @@
         if delay_ms is None:
             return
 
-        def answer(granted: RenewalGranted) -> None:
+        def answer(granted: RenewalReply) -> None:
             back = self.network.message_delay_ms(leader_zone, follower.scheduler.zone)
             if back is not None:
                 self.event_queue.schedule_after(back, follower.handle_grant, granted)
--- a/spanwing/store/document_service.py
+++ b/spanwing/store/document_service.py
@@ -22,7 +22,7 @@
 from spanwing.store.document import Document, Transaction, decode_document, encode_document
 from spanwing.store.leader import POLL_HOLD_MS, Controller, Leader
 from spanwing.store.lease import clock_ms
-from spanwing.store.messages import OrderResult, Renew, RenewalGranted, SubmitOrder
+from spanwing.store.messages import OrderResult, Renew, RenewalReply, SubmitOrder
 from spanwing.store.peer import Peer, PeerListener
 from spanwing.store.store import NoQuorumError, Store
 
@@ -128,7 +128,7 @@
             if not result_future.done():
                 result_future.set_result(result)
 
-    async def handle_message(self, message: Renew | SubmitOrder) -> RenewalGranted | OrderResult:
+    async def handle_message(self, message: Renew | SubmitOrder) -> RenewalReply | OrderResult:
         """Returns the answer to a scheduler: this member's if it leads, else the leader's."""
         leadership = self.leader.leadership()
         if (
@@ -163,7 +163,7 @@
 
     async def _forward_to_leader(
         self, leader_peer: Peer, message: Renew | SubmitOrder
-    ) -> RenewalGranted | OrderResult:
+    ) -> RenewalReply | OrderResult:
         message_id = next(self.store.message_ids)
         pending_reply = leader_peer.send_request(msgspec.structs.replace(message, n=message_id, passed=True))
         try:
@@ -171,15 +171,15 @@
         except WaitOver:
             pending_reply.cancel()
             reply = None
-        if not isinstance(reply, RenewalGranted | OrderResult):
+        if not isinstance(reply, RenewalReply | OrderResult):
             spawn_task(self._learn_leader())
             return _rejection(message, "the member that keeps does not answer")
         return msgspec.structs.replace(reply, n=message.n)
 
 
-def _rejection(message: Renew | SubmitOrder, reason: str) -> RenewalGranted | OrderResult:
+def _rejection(message: Renew | SubmitOrder, reason: str) -> RenewalReply | OrderResult:
     return (
-        RenewalGranted(message.n, reason=reason)
+        RenewalReply(message.n, reason=reason)
         if isinstance(message, Renew)
         else OrderResult(message.n, False, reason)
     )
--- a/spanwing/store/follower.py
+++ b/spanwing/store/follower.py
@@ -28,7 +28,7 @@
 from spanwing.store.document import Document, catch_up
 from spanwing.store.leader import POLL_HOLD_MS
 from spanwing.store.lease import Lease, clock_ms
-from spanwing.store.messages import OrderResult, Renew, RenewalGranted, SubmitOrder
+from spanwing.store.messages import OrderResult, Renew, RenewalReply, SubmitOrder
 from spanwing.store.peer import CONNECT_TIMEOUT_S, MAX_FRAME_BYTES
 
 ANSWER_TIMEOUT_S = POLL_HOLD_MS / 1000.0 + 0.8  # for a renewal; then another member is used
@@ -37,7 +37,7 @@
 ORDER_TIMEOUT_S = 4.0
 MAX_PENDING_ORDERS = 8
 
-LeaderReply = RenewalGranted | OrderResult
+LeaderReply = RenewalReply | OrderResult
 
 
 class DocumentFollower:
@@ -71,9 +71,7 @@
         self.policy_vote: Callable[[], msgspec.Raw] | None = None  # vote on the policy; JSON
         self.last_message_id, self.stream = 0, None
         self.pending_orders: dict[int, Future[OrderResult]] = {}
-        self.pending_grant: Future[RenewalGranted | None] | None = (
-            None  # a None result: renew_now() was called
-        )
+        self.pending_grant: Future[RenewalReply | None] | None = None  # a None result: renew_now() was called
         self.renewal_id, self.renewed_at_s = 0, float("-inf")
         self.last_failure = "no member has been asked yet"
         self.connected_member = ""  # the member in use
@@ -215,7 +213,7 @@
                     )
                 )
         if self.stream is stream and self.pending_grant is not None and not self.pending_grant.done():
-            self.pending_grant.set_result(RenewalGranted(0, reason="the connection was closed"))
+            self.pending_grant.set_result(RenewalReply(0, reason="the connection was closed"))
 
     def _handle_reply(self, reply: LeaderReply) -> None:
         if isinstance(reply, OrderResult):
--- a/spanwing/store/leader.py
+++ b/spanwing/store/leader.py
@@ -18,7 +18,7 @@
 
 from spanwing.store.document import Document, Transaction
 from spanwing.store.lease import lease_expiry_ms
-from spanwing.store.messages import Renew, RenewalGranted
+from spanwing.store.messages import Renew, RenewalReply
 
 LEADERSHIP_KEY = "keeper"  # the key of the Leadership record
 POLL_HOLD_MS = 400.0  # long poll: a renewal is answered after this without a change
@@ -46,7 +46,7 @@
     """A renewal that waits for its answer."""
 
     renewal: Renew
-    send_answer: Callable[[RenewalGranted], None]
+    send_answer: Callable[[RenewalReply], None]
     received_at_ms: float
     is_confirmed: bool = False
 
@@ -141,9 +141,7 @@
         if keeps is not None and keeps.member == member:
             self.leader_seen_at_ms = now
 
-    def handle_renewal(
-        self, now: float, renewal: Renew, send_answer: Callable[[RenewalGranted], None]
-    ) -> None:
+    def handle_renewal(self, now: float, renewal: Renew, send_answer: Callable[[RenewalReply], None]) -> None:
         """Takes in a renewal, which is answered exactly once.
 
         It is rejected now or by handle_read(), or answered by answer_due_renewals(), a later renewal or the
@@ -151,15 +149,13 @@
         """
         if not 0 < len(renewal.session) <= MAX_SESSION_NAME_LENGTH or renewal.acknowledged_revision < 0:
             self.rejected_renewals += 1
-            send_answer(RenewalGranted(renewal.n, reason="no renewal of ours"))
+            send_answer(RenewalReply(renewal.n, reason="no renewal of ours"))
             return
         session = self.sessions.get(renewal.session)
         if session is None:
             if len(self.sessions) >= MAX_SESSIONS:
                 self.rejected_renewals += 1
-                send_answer(
-                    RenewalGranted(renewal.n, reason=f"{MAX_SESSIONS} sessions are all that are kept")
-                )
+                send_answer(RenewalReply(renewal.n, reason=f"{MAX_SESSIONS} sessions are all that are kept"))
                 return
             session = self.sessions[renewal.session] = SchedulerSession(
                 renewal.session, renewal.zone, renewal.position, renewal.acknowledged_revision
@@ -206,7 +202,7 @@
                 self.rejected_renewals += 1
                 session.pending_renewal = None
                 pending.send_answer(
-                    RenewalGranted(
+                    RenewalReply(
                         pending.renewal.n,
                         reason=f"revision {pending.renewal.acknowledged_revision} is none of ours",
                     )
@@ -271,7 +267,7 @@
     def _answer_renewal(self, session: SchedulerSession, zones_to_probe: tuple[str, ...] = ()) -> None:
         pending, session.pending_renewal = session.pending_renewal, None
         if not pending.is_confirmed:
-            pending.send_answer(RenewalGranted(pending.renewal.n, reason="renewed again"))
+            pending.send_answer(RenewalReply(pending.renewal.n, reason="renewed again"))
             return
         changes = self.document.changes_after(pending.renewal.acknowledged_revision)
         document = self.document if changes is None else None
@@ -281,7 +277,7 @@
             else self.permit_authority.permit_duration_ms(session.id, self.document)
         )
         pending.send_answer(
-            RenewalGranted(pending.renewal.n, self.lease_ms, "", changes, document, zones_to_probe, permit_ms)
+            RenewalReply(pending.renewal.n, self.lease_ms, "", changes, document, zones_to_probe, permit_ms)
         )
 
     def reject_pending_renewals(self, reason: str) -> None:
@@ -289,7 +285,7 @@
         for session in self.sessions.values():
             pending, session.pending_renewal = session.pending_renewal, None
             if pending is not None:
-                pending.send_answer(RenewalGranted(pending.renewal.n, reason=reason))
+                pending.send_answer(RenewalReply(pending.renewal.n, reason=reason))
         self.sessions.clear()
 
     def has_lease_expired(self, session_id: str, now: float) -> bool:
--- a/spanwing/store/messages.py
+++ b/spanwing/store/messages.py
@@ -65,7 +65,7 @@
     passed: bool = False
 
 
-class RenewalGranted(msgspec.Struct, tag="granted"):
+class RenewalReply(msgspec.Struct, tag="granted"):
     """Answers a Renew; the lease counts from when that was sent. lease_ms 0: none is granted."""
 
     n: int
--- a/spanwing/store/peer.py
+++ b/spanwing/store/peer.py
@@ -30,7 +30,7 @@
     ReadRegister,
     RegisterReply,
     Renew,
-    RenewalGranted,
+    RenewalReply,
     SubmitOrder,
 )
 
@@ -40,9 +40,9 @@
 MAX_CONNECTIONS = 1024
 
 StoreRequest = Prepare | Accept | ReadRegister | Ping | Renew | SubmitOrder
-StoreResponse = RegisterReply | RenewalGranted | OrderResult
+StoreResponse = RegisterReply | RenewalReply | OrderResult
 #: Answers schedulers' messages; its result is awaited and written back.
-MessageHandler = Callable[[Renew | SubmitOrder], Awaitable[RenewalGranted | OrderResult]]
+MessageHandler = Callable[[Renew | SubmitOrder], Awaitable[RenewalReply | OrderResult]]
 
 
 class Peer(Actor):
@@ -164,7 +164,7 @@
             stream.close()
 
     async def _write_answer(
-        self, pending_answer: Awaitable[RenewalGranted | OrderResult], stream: LineStream
+        self, pending_answer: Awaitable[RenewalReply | OrderResult], stream: LineStream
     ) -> None:
         reply = await pending_answer
         try:
--- a/spanwing/zones/standalone.py
+++ b/spanwing/zones/standalone.py
@@ -14,7 +14,7 @@
 
 from spanwing.store.document import Document, Transaction
 from spanwing.store.leader import Leader
-from spanwing.store.messages import Renew, RenewalGranted
+from spanwing.store.messages import Renew, RenewalReply
 from spanwing.zones.controller import ZoneController
 from spanwing.zones.state import ASSIGNMENT_KEY
 
@@ -63,7 +63,7 @@
         self.leader.answer_due_renewals(now)
         return self.document is not previous
 
-    def _handle_grant(self, grant: RenewalGranted) -> None:
+    def _handle_grant(self, grant: RenewalReply) -> None:
         self.zones_to_probe = self.zones_to_probe or grant.zones_to_probe
 
     def handle_order(self, now: float, order: object) -> str:
--- a/tests/golden_messages.py
+++ b/tests/golden_messages.py
@@ -86,7 +86,7 @@
     return (_RESPONSE if kind in _RESPONSES else _REQUEST).decode(data)
 
 
-_RESPONSES = (store_messages.RegisterReply, store_messages.RenewalGranted, store_messages.OrderResult)
+_RESPONSES = (store_messages.RegisterReply, store_messages.RenewalReply, store_messages.OrderResult)
 
 
 def _journal_records() -> dict[str, Any]:
@@ -156,8 +156,8 @@
         "renew least": own.Renew(5, "a.01", "galway", 2, 8),
         "submit full": own.SubmitOrder(6, "a.01", raw(b'{"do":"leave","name":"galway"}'), True),
         "submit least": own.SubmitOrder(6, "a.01", raw(b'{"do":"leave","name":"galway"}')),
-        "granted full": own.RenewalGranted(7, 900.5, "why", (_CHANGE,), _DOCUMENT, ("galway",), 60000.5),
-        "granted least": own.RenewalGranted(7),
+        "granted full": own.RenewalReply(7, 900.5, "why", (_CHANGE,), _DOCUMENT, ("galway",), 60000.5),
+        "granted least": own.RenewalReply(7),
         "done full": own.OrderResult(8, True, "ordered"),
         "reply full": own.RegisterReply(9, True, ballot, (3, "member-a"), "value"),
         "reply least": own.RegisterReply(9, True, ballot),
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -17,7 +17,7 @@
 from spanwing.choice import Dispatcher
 from spanwing.store.document import Document, Transaction
 from spanwing.store.leader import Leader
-from spanwing.store.messages import Renew, RenewalGranted
+from spanwing.store.messages import Renew, RenewalReply
 from spanwing.zones import trial_requests as trial
 from spanwing.zones.agent import ZoneAgent
 from spanwing.zones.controller import ListedWorker, ZoneController, ZoneLimits
@@ -52,12 +52,12 @@
 class Numbers(unittest.TestCase):
     """What the keeper answers to renewals that name an old number, one from the future, or none."""
 
-    def ask(self, seen: int, session: str = "s.1") -> RenewalGranted:
+    def ask(self, seen: int, session: str = "s.1") -> RenewalReply:
         keeper = Leader("a", 2000.0, mock.Mock(zones_to_probe=lambda *_: ()), 0.0, lambda: 0.5)
         document = Document().apply(Transaction("k", {"keeper": '{"member":"a","term":1}'}))
         for number in range(80):
             document = document.apply(Transaction(f"t{number}", {"x": str(number)}))
-        told: list[RenewalGranted] = []
+        told: list[RenewalReply] = []
         keeper.handle_read(1.0, 1.0, document)
         keeper.handle_renewal(2.0, Renew(7, session, "a", 0, seen), told.append)
         keeper.answer_due_renewals(3.0)
