--- a/measure/fleet/simulated.py
+++ b/measure/fleet/simulated.py
@@ -199,11 +199,11 @@
             self.local.routing_filter.update_zones(
                 read_fleet_zones(self.document), self.now(), self.world.agenda.now_ms
             )
-        self.lease.extend(granted.n, granted.lease_ms)
+        self.lease.extend(granted.message_id, granted.lease_ms)
         if granted.zones_to_probe:
             self.ask(self.local.choose_workers_to_probe(granted.zones_to_probe))
-        if granted.n == self.renewals and granted.n > self.granted:
-            self.granted = granted.n
+        if granted.message_id == self.renewals and granted.message_id > self.granted:
+            self.granted = granted.message_id
             self.call(100.0 if granted.lease_ms else self.world.random.uniform(50, 400), self.renew)
 
     def holds(self) -> bool:
--- a/spanwing/simulation/zone_fleet.py
+++ b/spanwing/simulation/zone_fleet.py
@@ -146,7 +146,7 @@
             return
         previous = self.document
         self.document = catch_up(previous, grant.changes, grant.document)
-        self.lease.extend(grant.n, grant.lease_ms)
+        self.lease.extend(grant.message_id, grant.lease_ms)
         if self.document is not previous:
             self._handle_document_change()
         if grant.zones_to_probe:
@@ -155,8 +155,8 @@
             trial.start_trials(
                 self.scheduler.decision_module, self.zone_agent.tries(now, grant.zones_to_probe), now
             )
-        if grant.n == self.last_renewal_number and grant.n > self.last_answered_renewal:
-            self.last_answered_renewal = grant.n
+        if grant.message_id == self.last_renewal_number and grant.message_id > self.last_answered_renewal:
+            self.last_answered_renewal = grant.message_id
             self.event_queue.schedule_after(MIN_RENEWAL_INTERVAL_MS, self._send_renewal)
 
     # -- changes of the document and the lease
--- a/spanwing/store/acceptor.py
+++ b/spanwing/store/acceptor.py
@@ -18,10 +18,12 @@
     def handle_message(self, message: Prepare | Accept | ReadRegister | Ping) -> RegisterReply:
         """Returns the reply to a proposer, after the log has saved what it says."""
         if isinstance(message, Ping):
-            return RegisterReply(message.n, True, NO_BALLOT)
+            return RegisterReply(message.message_id, True, NO_BALLOT)
         register = self.registers.get(message.key) or Register(message.key)
         if isinstance(message, ReadRegister):
-            return RegisterReply(message.n, True, register.promised, register.accepted_ballot, register.value)
+            return RegisterReply(
+                message.message_id, True, register.promised, register.accepted_ballot, register.value
+            )
         if isinstance(message, Prepare):
             granted = message.ballot > register.promised
             changed = msgspec.structs.replace(register, promised=message.ballot)
@@ -32,4 +34,6 @@
             if self.log is not None:
                 self.log.save(changed)
             self.registers[message.key] = register = changed
-        return RegisterReply(message.n, granted, register.promised, register.accepted_ballot, register.value)
+        return RegisterReply(
+            message.message_id, granted, register.promised, register.accepted_ballot, register.value
+        )
--- a/spanwing/store/document_service.py
+++ b/spanwing/store/document_service.py
@@ -119,12 +119,12 @@
                     self.leader.on_condition_of_leadership(transaction)
                 )
                 result = OrderResult(
-                    message.n,
+                    message.message_id,
                     is_accepted,
                     text if is_accepted else "another change came first: look and order again",
                 )
             except (ValueError, NoQuorumError, OSError) as error:
-                result = OrderResult(message.n, False, str(error))
+                result = OrderResult(message.message_id, False, str(error))
             if not result_future.done():
                 result_future.set_result(result)
 
@@ -150,7 +150,7 @@
         elif len(self.pending_orders) < MAX_PENDING_ORDERS:
             self.pending_orders.append((message, answer_future))
         else:
-            return OrderResult(message.n, False, f"{MAX_PENDING_ORDERS} orders wait already")
+            return OrderResult(message.message_id, False, f"{MAX_PENDING_ORDERS} orders wait already")
         try:
             return await with_timeout(timedelta(seconds=ANSWER_TIMEOUT_S), answer_future)
         except WaitOver:
@@ -165,7 +165,9 @@
         self, leader_peer: Peer, message: Renew | SubmitOrder
     ) -> RenewalReply | OrderResult:
         message_id = next(self.store.message_ids)
-        pending_reply = leader_peer.send_request(msgspec.structs.replace(message, n=message_id, passed=True))
+        pending_reply = leader_peer.send_request(
+            msgspec.structs.replace(message, message_id=message_id, passed=True)
+        )
         try:
             reply = await with_timeout(timedelta(seconds=ANSWER_TIMEOUT_S), pending_reply)
         except WaitOver:
@@ -174,14 +176,14 @@
         if not isinstance(reply, RenewalReply | OrderResult):
             spawn_task(self._learn_leader())
             return _rejection(message, "the member that keeps does not answer")
-        return msgspec.structs.replace(reply, n=message.n)
+        return msgspec.structs.replace(reply, message_id=message.message_id)
 
 
 def _rejection(message: Renew | SubmitOrder, reason: str) -> RenewalReply | OrderResult:
     return (
-        RenewalReply(message.n, reason=reason)
+        RenewalReply(message.message_id, reason=reason)
         if isinstance(message, Renew)
-        else OrderResult(message.n, False, reason)
+        else OrderResult(message.message_id, False, reason)
     )
 
 
--- a/spanwing/store/follower.py
+++ b/spanwing/store/follower.py
@@ -217,7 +217,7 @@
 
     def _handle_reply(self, reply: LeaderReply) -> None:
         if isinstance(reply, OrderResult):
-            pending_result = self.pending_orders.get(reply.n)
+            pending_result = self.pending_orders.get(reply.message_id)
             if pending_result is not None and not pending_result.done():
                 pending_result.set_result(reply)
             return
@@ -225,9 +225,13 @@
         self.document = catch_up(previous, reply.changes, reply.document)
         if self.document is not previous:
             self.on_change(self.document)
-        self.lease.extend(reply.n, reply.lease_ms)
-        self.permit.extend(reply.n, reply.permit_ms)
+        self.lease.extend(reply.message_id, reply.lease_ms)
+        self.permit.extend(reply.message_id, reply.permit_ms)
         if reply.zones_to_probe:
             self.on_probe_request(reply.zones_to_probe)
-        if reply.n == self.renewal_id and self.pending_grant is not None and not self.pending_grant.done():
+        if (
+            reply.message_id == self.renewal_id
+            and self.pending_grant is not None
+            and not self.pending_grant.done()
+        ):
             self.pending_grant.set_result(reply)
--- a/spanwing/store/leader.py
+++ b/spanwing/store/leader.py
@@ -149,13 +149,15 @@
         """
         if not 0 < len(renewal.session) <= MAX_SESSION_NAME_LENGTH or renewal.acknowledged_revision < 0:
             self.rejected_renewals += 1
-            send_answer(RenewalReply(renewal.n, reason="no renewal of ours"))
+            send_answer(RenewalReply(renewal.message_id, reason="no renewal of ours"))
             return
         session = self.sessions.get(renewal.session)
         if session is None:
             if len(self.sessions) >= MAX_SESSIONS:
                 self.rejected_renewals += 1
-                send_answer(RenewalReply(renewal.n, reason=f"{MAX_SESSIONS} sessions are all that are kept"))
+                send_answer(
+                    RenewalReply(renewal.message_id, reason=f"{MAX_SESSIONS} sessions are all that are kept")
+                )
                 return
             session = self.sessions[renewal.session] = SchedulerSession(
                 renewal.session, renewal.zone, renewal.position, renewal.acknowledged_revision
@@ -203,7 +205,7 @@
                 session.pending_renewal = None
                 pending.send_answer(
                     RenewalReply(
-                        pending.renewal.n,
+                        pending.renewal.message_id,
                         reason=f"revision {pending.renewal.acknowledged_revision} is none of ours",
                     )
                 )
@@ -267,7 +269,7 @@
     def _answer_renewal(self, session: SchedulerSession, zones_to_probe: tuple[str, ...] = ()) -> None:
         pending, session.pending_renewal = session.pending_renewal, None
         if not pending.is_confirmed:
-            pending.send_answer(RenewalReply(pending.renewal.n, reason="renewed again"))
+            pending.send_answer(RenewalReply(pending.renewal.message_id, reason="renewed again"))
             return
         changes = self.document.changes_after(pending.renewal.acknowledged_revision)
         document = self.document if changes is None else None
@@ -277,7 +279,9 @@
             else self.permit_authority.permit_duration_ms(session.id, self.document)
         )
         pending.send_answer(
-            RenewalReply(pending.renewal.n, self.lease_ms, "", changes, document, zones_to_probe, permit_ms)
+            RenewalReply(
+                pending.renewal.message_id, self.lease_ms, "", changes, document, zones_to_probe, permit_ms
+            )
         )
 
     def reject_pending_renewals(self, reason: str) -> None:
@@ -285,7 +289,7 @@
         for session in self.sessions.values():
             pending, session.pending_renewal = session.pending_renewal, None
             if pending is not None:
-                pending.send_answer(RenewalReply(pending.renewal.n, reason=reason))
+                pending.send_answer(RenewalReply(pending.renewal.message_id, reason=reason))
         self.sessions.clear()
 
     def has_lease_expired(self, session_id: str, now: float) -> bool:
--- a/spanwing/store/messages.py
+++ b/spanwing/store/messages.py
@@ -13,7 +13,7 @@
 class Prepare(msgspec.Struct, tag="prepare"):
     """CASPaxos, first phase: asks for a promise for this ballot."""
 
-    n: int
+    message_id: int = msgspec.field(name="n")
     key: str
     ballot: Ballot
 
@@ -21,7 +21,7 @@
 class Accept(msgspec.Struct, tag="accept"):
     """CASPaxos, second phase: asks to accept this value under the ballot."""
 
-    n: int
+    message_id: int = msgspec.field(name="n")
     key: str
     ballot: Ballot
     value: str
@@ -30,13 +30,13 @@
 class Ping(msgspec.Struct, tag="ping"):
     """Asks for a sign of life; nothing is promised or written."""
 
-    n: int
+    message_id: int = msgspec.field(name="n")
 
 
 class ReadRegister(msgspec.Struct, tag="look"):
     """Asks for a register's state; nothing is promised or written."""
 
-    n: int
+    message_id: int = msgspec.field(name="n")
     key: str
     reader: str = msgspec.field(default="", name="by")  # the member that reads
 
@@ -44,7 +44,7 @@
 class Renew(msgspec.Struct, tag="renew"):
     """Renews a session's lease, acknowledges the revision that it follows, and brings its evidence."""
 
-    n: int
+    message_id: int = msgspec.field(name="n")
     session: str
     zone: str
     position: int
@@ -59,7 +59,7 @@
 class SubmitOrder(msgspec.Struct, tag="submit"):
     """Submits an operator's order to the leader."""
 
-    n: int
+    message_id: int = msgspec.field(name="n")
     session: str
     order: msgspec.Raw
     passed: bool = False
@@ -68,7 +68,7 @@
 class RenewalReply(msgspec.Struct, tag="granted"):
     """Answers a Renew; the lease counts from when that was sent. lease_ms 0: none is granted."""
 
-    n: int
+    message_id: int = msgspec.field(name="n")
     lease_ms: float = 0.0
     reason: str = msgspec.field(default="", name="why")  # if no lease is granted
     changes: tuple[DocumentChange, ...] | None = (
@@ -84,7 +84,7 @@
 class OrderResult(msgspec.Struct, tag="done"):
     """Answers a SubmitOrder."""
 
-    n: int
+    message_id: int = msgspec.field(name="n")
     is_accepted: bool = msgspec.field(name="ok")
     text: str
 
@@ -92,7 +92,7 @@
 class RegisterReply(msgspec.Struct, tag="reply"):
     """Answers Prepare, Accept, ReadRegister and Ping: whether granted, and the register's state."""
 
-    n: int
+    message_id: int = msgspec.field(name="n")
     is_granted: bool = msgspec.field(name="granted")
     promised_ballot: Ballot = msgspec.field(name="promised")
     accepted_ballot: Ballot = msgspec.field(default=NO_BALLOT, name="accepted")
--- a/spanwing/store/peer.py
+++ b/spanwing/store/peer.py
@@ -67,7 +67,7 @@
         request, reply = message
         for n in [n for n, each in self.pending_replies.items() if each.done()]:  # the caller has timed out
             del self.pending_replies[n]
-        self.pending_replies[request.n] = reply
+        self.pending_replies[request.message_id] = reply
         now = self.loop.time()
         if self.unanswered_since_s is None:
             self.unanswered_since_s = now
@@ -111,7 +111,7 @@
             while (line := await stream.read_line()) is not None:
                 reply = msgspec.json.decode(line, type=StoreResponse)
                 self.unanswered_since_s = None
-                pending = self.pending_replies.pop(reply.n, None)
+                pending = self.pending_replies.pop(reply.message_id, None)
                 if pending is not None:
                     future_set_result_unless_cancelled(pending, reply)
         except (LineTooLongError, ValueError):
