--- a/measure/policymodel.py
+++ b/measure/policymodel.py
@@ -253,7 +253,9 @@
         txn = self._txn(place)
         if txn is None:
             return
-        txn = msgspec.structs.replace(txn, at={**txn.at, **member.document.current_revisions(KEEPER)})
+        txn = msgspec.structs.replace(
+            txn, expected_revisions={**txn.expected_revisions, **member.document.current_revisions(KEEPER)}
+        )
         after = self.document.apply(txn)
         if after is not None:
             self.document = after
--- a/spanwing/simulation/zone_fleet.py
+++ b/spanwing/simulation/zone_fleet.py
@@ -392,7 +392,7 @@
         leadership = msgspec.json.encode(Leadership(scheduler.name, self.document.revision)).decode()
         transaction = self.leader.takeover_transaction(now, f"{self.random_source.random()}")
         self.document = self.document.apply(
-            msgspec.structs.replace(transaction, writes={LEADERSHIP_KEY: leadership}, at={})
+            msgspec.structs.replace(transaction, writes={LEADERSHIP_KEY: leadership}, expected_revisions={})
         )
         self.leader.handle_change(now, self.document)
         self._run_leader(scheduler)
--- a/spanwing/store/document.py
+++ b/spanwing/store/document.py
@@ -36,11 +36,11 @@
 
 
 class Transaction(msgspec.Struct, frozen=True):
-    """Writes that apply only if each key of `at` is still at its revision; 0: the key does not exist."""
+    """Writes that apply only if each key of `expected_revisions` is still at its revision; 0: the key does not exist."""
 
     id: str
     writes: dict[str, str | None]
-    at: dict[str, int] = {}
+    expected_revisions: dict[str, int] = msgspec.field(default={}, name="at")
 
 
 class Document(msgspec.Struct, frozen=True):
@@ -71,7 +71,7 @@
         """
         if self.has_applied(transaction.id):
             return self
-        if self.current_revisions(*transaction.at) != transaction.at:
+        if self.current_revisions(*transaction.expected_revisions) != transaction.expected_revisions:
             return None
         revision, entries = self.revision + 1, dict(self.entries)
         for key, value in transaction.writes.items():
--- a/spanwing/store/leader.py
+++ b/spanwing/store/leader.py
@@ -343,5 +343,5 @@
         return Transaction(
             transaction.id,
             transaction.writes,
-            {**transaction.at, **self.document.current_revisions(LEADERSHIP_KEY)},
+            {**transaction.expected_revisions, **self.document.current_revisions(LEADERSHIP_KEY)},
         )
