--- a/measure/policymodel.py
+++ b/measure/policymodel.py
@@ -350,7 +350,7 @@
                 revision - document.revision,
                 policy.now.number,
                 document.get_value(KEEPER),
-                None if change is None else (change.state, change.tries, change.id == now_id),
+                None if change is None else (change.state, change.revert_count, change.id == now_id),
                 tuple(sorted(policy.register.items())),
             )
 
@@ -509,7 +509,7 @@
             raise AssertionError(f"not all take jobs under one version: {can}")
     except AssertionError as error:
         return f"{error}: {path[-25:]}", 0, 0
-    past = read_policy(world.document).past
+    past = read_policy(world.document).history
     return "", sum(each.taken for each in past), sum(not each.taken for each in past)
 
 
--- a/spanwing/policy/coordinator.py
+++ b/spanwing/policy/coordinator.py
@@ -130,8 +130,8 @@
                     session.confirmed_at_ms, self.permit_confirmed_at_ms.get(id, -math.inf)
                 )
         change = policy.change
-        if change is not None and self.change_revision_seen[0] != policy.change_number:
-            self.change_revision_seen = policy.change_number, now
+        if change is not None and self.change_revision_seen[0] != policy.change_revision:
+            self.change_revision_seen = policy.change_revision, now
         if change is not None and self.change_started[0] != change.id:
             self.change_started = change.id, now
 
@@ -163,7 +163,7 @@
             if participant is None or now - participant.confirmed_at_ms > MAX_CONTACT_AGE_MS:
                 found[name] = "is not in contact"
             elif change.state == "closing":
-                if participant.acknowledged_revision < policy.change_number:
+                if participant.acknowledged_revision < policy.change_revision:
                     found[name] = "has not said that it takes nothing"
             elif vote.change_id != change.id:
                 found[name] = "has not answered"
@@ -181,7 +181,7 @@
         None if there is nothing to do, or if a part of the policy in the document cannot be read.
         """
         policy = read_policy(document)
-        if policy.unread:
+        if policy.unreadable_keys:
             return None
         self._update_session_state(now, leader, policy)
         if policy.now.number == 0 and self.initial_policy:
@@ -243,7 +243,7 @@
                 return self._end_change(policy, document, True, "")
             if state_age_ms < CLOSING_TIMEOUT_MS:
                 return None
-            reopened = msgspec.structs.replace(change, state="asking", tries=change.tries + 1)
+            reopened = msgspec.structs.replace(change, state="asking", revert_count=change.revert_count + 1)
             return Transaction(
                 self.new_id(), {CHANGE_KEY: encode_value(reopened)}, document.current_revisions(CHANGE_KEY)
             )
@@ -252,7 +252,7 @@
             return self._end_change(
                 policy, document, False, f"not in time: {blocking_summary or 'it had to go back'}"
             )
-        if blocking or (change.tries and state_age_ms < REVERT_BACKOFF_MS):
+        if blocking or (change.revert_count and state_age_ms < REVERT_BACKOFF_MS):
             return None
         # The end holds only for an unchanged register; a session that registers anew sees `closing` first.
         closing = msgspec.structs.replace(change, state="closing")
@@ -281,7 +281,7 @@
         writes: dict[str, str | None] = {
             CHANGE_KEY: None,
             PROPOSED_KEY: None,
-            HISTORY_KEY: encode_value([*policy.past, history_entry][-MAX_HISTORY_ENTRIES:]),
+            HISTORY_KEY: encode_value([*policy.history, history_entry][-MAX_HISTORY_ENTRIES:]),
         }
         if is_accepted:
             writes[CURRENT_KEY] = encode_value(proposed)
@@ -308,8 +308,10 @@
         Raises ValueError with the reason if it is rejected.
         """
         policy = read_policy(document)
-        if policy.unread:
-            raise ValueError(f"{policy.unread[0]} cannot be read: it is of a newer program, or damaged")
+        if policy.unreadable_keys:
+            raise ValueError(
+                f"{policy.unreadable_keys[0]} cannot be read: it is of a newer program, or damaged"
+            )
         if policy.change is not None:
             raise ValueError(f"version {policy.next.number} by {policy.next.author} is under way")
         if base_version != policy.now.number:
--- a/spanwing/policy/participant.py
+++ b/spanwing/policy/participant.py
@@ -57,8 +57,8 @@
         MAX_ADMISSION_WAIT_MS after the closing was first seen; then it is rejected.
         """
         policy = self.policy
-        if policy.unread:
-            return AdmissionDecision("refuse", reason=f"{policy.unread[0]} cannot be read here")
+        if policy.unreadable_keys:
+            return AdmissionDecision("refuse", reason=f"{policy.unreadable_keys[0]} cannot be read here")
         if policy.now.number == 0:
             return AdmissionDecision("refuse", reason="no policy is in force")
         if not self.permit.is_valid(now):
--- a/spanwing/policy/records.py
+++ b/spanwing/policy/records.py
@@ -46,7 +46,7 @@
     removed_sessions: list[str] = msgspec.field(
         default=[], name="gone"
     )  # sessions that the operator has declared gone for good
-    tries: int = 0  # how often it returned from closing to asking
+    revert_count: int = msgspec.field(default=0, name="tries")  # how often it returned from closing to asking
 
 
 class PolicyHistoryEntry(msgspec.Struct, frozen=True, array_like=True):
@@ -66,15 +66,15 @@
     now: PolicyVersion = PolicyVersion()
     next: PolicyVersion | None = None
     change: PolicyChange | None = None
-    change_number: int = 0  # the revision of the document that last wrote the change
+    change_revision: int = 0  # the revision of the document that last wrote the change
     register: dict[str, str] = {}  # by name: the session that may hold a permit
-    register_number: int = 0
-    past: list[PolicyHistoryEntry] = []
-    unread: tuple[str, ...] = ()
+    register_revision: int = 0
+    history: list[PolicyHistoryEntry] = []
+    unreadable_keys: tuple[str, ...] = ()
 
     def is_closed(self) -> bool:
         """Returns whether no scheduler may accept requests now."""
-        return bool(self.unread) or (self.change is not None and self.change.state == "closing")
+        return bool(self.unreadable_keys) or (self.change is not None and self.change.state == "closing")
 
 
 FIELDS_BY_KEY = {
@@ -82,12 +82,12 @@
     PROPOSED_KEY: ("next", PolicyVersion),
     CHANGE_KEY: ("change", PolicyChange),
     REGISTER_KEY: ("register", dict[str, str]),
-    HISTORY_KEY: ("past", list[PolicyHistoryEntry]),
+    HISTORY_KEY: ("history", list[PolicyHistoryEntry]),
 }
 
 
 def read_policy(document: Document) -> PolicyState:
-    """Reads the policy's records from a document; keys that cannot be decoded are listed in `unread`."""
+    """Reads the policy's records from a document; `unreadable_keys` lists keys that cannot be decoded."""
     fields: dict[str, object] = {}
     unreadable_keys = []
     for key, (name, value_type) in FIELDS_BY_KEY.items():
@@ -100,8 +100,8 @@
             unreadable_keys.append(key)
             continue
         if key in (CHANGE_KEY, REGISTER_KEY):
-            fields[f"{name}_number"] = entry.revision
-    return PolicyState(**fields, unread=tuple(unreadable_keys))
+            fields[f"{name}_revision"] = entry.revision
+    return PolicyState(**fields, unreadable_keys=tuple(unreadable_keys))
 
 
 def encode_value(value: object) -> str:
--- a/spanwing/policy/service.py
+++ b/spanwing/policy/service.py
@@ -234,8 +234,8 @@
                 ready=not vote.objection,
                 reason=vote.objection,
             )
-        for entry in policy.past[-1:]:
-            if not previous.past or previous.past[-1] != entry:
+        for entry in policy.history[-1:]:
+            if not previous.history or previous.history[-1] != entry:
                 log_event(
                     "policy",
                     rate_limited=False,
@@ -413,7 +413,7 @@
                 "state": change.state,
                 "author": policy.next.author,
                 "reason": policy.next.reason,
-                "tries": change.tries,
+                "tries": change.revert_count,
                 "ready": not self.participant.vote.objection,
                 "no": self.participant.vote.objection,
             },
@@ -421,7 +421,7 @@
 
     def history(self) -> list[dict[str, Any]]:
         """Returns how the last changes ended, oldest first."""
-        return [msgspec.structs.asdict(each) for each in self.participant.policy.past]
+        return [msgspec.structs.asdict(each) for each in self.participant.policy.history]
 
     def check(self, text: str) -> str:
         """Returns why a policy's text cannot be applied here; empty: it can."""
--- a/spanwing/store/document.py
+++ b/spanwing/store/document.py
@@ -36,7 +36,7 @@
 
 
 class Transaction(msgspec.Struct, frozen=True):
-    """Writes that apply only if each key of `expected_revisions` is still at its revision; 0: the key does not exist."""
+    """Writes that apply only if each key still has its expected revision; 0: the key does not exist."""
 
     id: str
     writes: dict[str, str | None]
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -48,7 +48,7 @@
         world = begun("")
         turn(world, (0, 1, 2))
         self.assertEqual(world.can_take(), {"s0": 2, "s1": 2, "s2": 2})
-        past = read_policy(world.document).past[-1]
+        past = read_policy(world.document).history[-1]
         self.assertEqual((past.number, past.taken), (2, True))
 
     def test_one_no_ends_it_and_names_who(self) -> None:
@@ -58,7 +58,7 @@
         world.do(("decide", 0))
         policy = read_policy(world.document)
         self.assertEqual((policy.change, policy.now.number), (None, 1))
-        self.assertEqual(policy.past[-1].reason, "s1 no: class look has open jobs")
+        self.assertEqual(policy.history[-1].reason, "s1 no: class look has open jobs")
         calm(world, 2)
         self.assertEqual(set(world.can_take().values()), {1})
 
@@ -92,7 +92,7 @@
         world.do(("decide", 0))
         policy = read_policy(world.document)
         self.assertEqual((policy.change, policy.now.number), (None, 1))
-        self.assertIn("s2 has not answered", policy.past[-1].reason)
+        self.assertIn("s2 has not answered", policy.history[-1].reason)
 
     def test_who_closed_and_hears_no_more_holds_and_then_refuses(self) -> None:
         world = begun("")
@@ -117,7 +117,7 @@
         world.do(("tick", 0))
         world.do(("decide", 0))
         self.assertEqual(
-            (read_policy(world.document).change.state, read_policy(world.document).change.tries),
+            (read_policy(world.document).change.state, read_policy(world.document).change.revert_count),
             ("asking", 1),
         )
 
@@ -127,7 +127,7 @@
         with self.assertRaisesRegex(ValueError, "version 2 by o is under way"):
             chair.propose(document, "x", 1, "p", "", 1000.0, [])
         done = document.apply(chair.abort(document, "p"))
-        self.assertEqual(read_policy(done).past[-1].reason, "given up by p")
+        self.assertEqual(read_policy(done).history[-1].reason, "given up by p")
         for text, base, gone, why in (
             ("x", 0, [], "made from version 0, and 1"),
             ("x" * (MAX_POLICY_BYTES + 1), 1, [], "bytes"),
