--- a/spanwing/policy/combined_controller.py
+++ b/spanwing/policy/combined_controller.py
@@ -39,7 +39,7 @@
     def __init__(self, policy_coordinator: PolicyCoordinator) -> None:
         self.policy_coordinator, self.zone_controller = policy_coordinator, None
 
-    def join(self, zone_controller: Controller) -> None:
+    def attach_zone_controller(self, zone_controller: Controller) -> None:
         """Sets the zone controller, once the scheduler has its policy."""
         self.zone_controller = zone_controller
 
--- a/spanwing/zones/service.py
+++ b/spanwing/zones/service.py
@@ -197,7 +197,7 @@
         controller = self._create_controller(store.member)
         if self.connection is not None:
             self.document_service = self.connection.document_service
-            self.document_service.controller.join(controller)
+            self.document_service.controller.attach_zone_controller(controller)
         else:
             self.document_service = DocumentService(store, listener, controller, self.zone_settings.lease_ms)
 
