--- a/spanwing/daemon.py
+++ b/spanwing/daemon.py
@@ -345,7 +345,7 @@
         """
         from spanwing.policy.policy_cache import PolicyCacheError
         from spanwing.policy.service import PolicyService
-        from spanwing.policy.validation import remove_member_settings
+        from spanwing.policy.validation import remove_per_scheduler_settings
 
         config = self.config
         try:
@@ -357,7 +357,7 @@
             raise ConfigurationError(f"policy.directory: {error}") from None
         if self.store_listener is not None and config.store.member in config.policy.members:
             participant.serve_as_member(
-                self.store, self.store_listener, remove_member_settings(config.settings_json)
+                self.store, self.store_listener, remove_per_scheduler_settings(config.settings_json)
             )
         participant.start()
         return await participant.wait_for_policy()
--- a/spanwing/policy/validation.py
+++ b/spanwing/policy/validation.py
@@ -21,7 +21,7 @@
 from spanwing.settings import SETTING_NAMES, PlatformSettings, scheduler_settings
 
 MAX_CLASSES, MAX_TENANTS = 64, 2000
-MEMBER_SETTINGS = ("position", "zone")  # a member's own, never part of a policy
+PER_SCHEDULER_SETTINGS = ("position", "zone")  # a member's own, never part of a policy
 RESTART_SETTINGS = ("report_fields", "max_retry_after", "subscribe", "probes")  # read only at the start
 CONNECTION_SETTINGS = ("conn_idle_ms", "connect_timeout_ms")
 TENANT_MEMORY_KB, TENANT_CLASS_MEMORY_KB = 0.4, 0.1  # for each tenant, and for each class of a tenant
@@ -45,11 +45,11 @@
         return _single_line(f"cannot be read: {error}")
 
 
-def remove_member_settings(text: str) -> str:
+def remove_per_scheduler_settings(text: str) -> str:
     """Returns the policy part of a settings object, as JSON. Raises ValueError."""
     raw = msgspec.json.decode(text)
     return msgspec.json.encode(
-        {name: each for name, each in raw.items() if name not in MEMBER_SETTINGS}
+        {name: each for name, each in raw.items() if name not in PER_SCHEDULER_SETTINGS}
     ).decode()
 
 
@@ -68,7 +68,7 @@
     if not isinstance(raw, dict):
         yield "is no object"
         return
-    for name in MEMBER_SETTINGS:
+    for name in PER_SCHEDULER_SETTINGS:
         if name in raw:
             yield f"{name}: is a member's own, and no policy's"
     for path in _unknown_fields(raw, msgspec.inspect.type_info(PlatformSettings), ""):
