--- a/spanwing/store/disk.py
+++ b/spanwing/store/disk.py
@@ -1,8 +1,9 @@
-"""The registers' log on disk; each state is there before a reply mentions it.
+"""The log of a member's registers on disk.
 
-What save() has returned from is read again after any crash. A log that has grown beyond COMPACTION_FACTOR
-times its compacted size and MIN_COMPACTION_BYTES is written anew without overwritten states, which bounds
-the disk by the registers.
+A register's state is on disk before a reply to a proposer contains it: a state that save() has stored is
+found again after any crash. A log larger than both MIN_COMPACTION_BYTES and COMPACTION_FACTOR times its
+compacted size is compacted: rewritten without overwritten states. This bounds the disk space by the size of
+the registers.
 """
 
 from __future__ import annotations
@@ -19,13 +20,14 @@
 
 
 class RegisterLogError(Exception):
-    """The directory cannot be used; the text says why."""
+    """The log directory cannot be used; the message says why."""
 
 
 class RegisterLog:
-    """Appends states of registers and syncs them; reads and compacts the log at its start.
+    """Appends states of registers to a log and syncs them.
 
-    Raises RegisterLogError there if the directory is in use, unreadable or damaged.
+    The constructor locks the directory, loads the log and compacts it. It raises RegisterLogError if another
+    process uses the directory, or if the log is damaged or cannot be read or written.
     """
 
     def __init__(self, directory: str) -> None:
@@ -33,8 +35,8 @@
         self.path = self.folder / "registers.log"
         try:
             self.folder.mkdir(parents=True, exist_ok=True)
-            self.lock_file = open(self.folder / "lock", "w")  # noqa: SIM115 - held for the life of the process
-            # Two processes over one log would promise the same ballot twice.
+            self.lock_file = open(self.folder / "lock", "w")  # noqa: SIM115 - locked until the process exits
+            # Two processes with one log could each promise the same ballot.
             fcntl.flock(self.lock_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
             self.registers = self._load()
             self.log_file = self._compact()
@@ -46,7 +48,7 @@
     def _load(self) -> dict[str, Register]:
         registers: dict[str, Register] = {}
         lines = self.path.read_bytes().split(b"\n") if self.path.exists() else []
-        # A last line without its end was being written when the process died: no reply mentioned it.
+        # A last line without a line end was cut off by a crash, before any reply contained it.
         for number, line in enumerate(lines[:-1], 1):
             try:
                 register = msgspec.json.decode(line, type=Register)
@@ -70,7 +72,10 @@
         return open(self.path, "ab", buffering=0)
 
     def save(self, register: Register) -> None:
-        """Appends the register's state and syncs it. Raises OSError."""
+        """Appends the register's state and syncs it. Raises OSError if that fails.
+
+        A failed compaction is not an error: the old log contains all states and stays in use.
+        """
         line = msgspec.json.encode(register) + b"\n"
         self.log_file.write(line)
         os.fsync(self.log_file.fileno())
@@ -80,5 +85,5 @@
             try:
                 old_file, self.log_file = self.log_file, self._compact()
                 old_file.close()
-            except OSError:  # the old log has all that was saved, and stays in use
+            except OSError:  # retried at COMPACTION_FACTOR times the present size
                 self.compacted_bytes = self.log_bytes
--- a/spanwing/store/document_service.py
+++ b/spanwing/store/document_service.py
@@ -96,12 +96,12 @@
         """Returns whether the transaction was applied. Raises NoQuorumError (it may be), ValueError."""
         has_applied: list[bool] = []
 
-        def apply(held: str | None) -> str | None:
+        def apply(stored: str | None) -> str | None:
             has_applied[:] = [False]
-            document = decode_document(held)
+            document = decode_document(stored)
             after = document.apply(transaction)
             has_applied[:] = [after is not None]
-            return held if after is None or after is document else encode_document(after)
+            return stored if after is None or after is document else encode_document(after)
 
         document = decode_document(await self.store.change(DOCUMENT_KEY, apply))
         self.leader.handle_change(clock_ms(), document)
@@ -133,7 +133,7 @@
         leadership = self.leader.leadership()
         if (
             not self.leader.is_leader()
-            and not message.passed
+            and not message.is_forwarded
             and leadership is not None
             and leadership.member in self.peers
         ):
@@ -166,7 +166,7 @@
     ) -> RenewalReply | OrderResult:
         message_id = next(self.store.message_ids)
         pending_reply = leader_peer.send_request(
-            msgspec.structs.replace(message, message_id=message_id, passed=True)
+            msgspec.structs.replace(message, message_id=message_id, is_forwarded=True)
         )
         try:
             reply = await with_timeout(timedelta(seconds=ANSWER_TIMEOUT_S), pending_reply)
--- a/spanwing/store/messages.py
+++ b/spanwing/store/messages.py
@@ -1,4 +1,8 @@
-"""Messages between schedulers and the store's members: JSON, one message per line."""
+"""Messages between schedulers and the store's members: JSON, one message per line.
+
+The `type` key of a message is its tag. `message_id` is chosen by the sender of a request and repeated in the
+reply.
+"""
 
 from __future__ import annotations
 
@@ -6,12 +10,12 @@
 
 from spanwing.store.document import Document, DocumentChange
 
-Ballot = tuple[int, str]  # a counter and the proposing member, which makes it unique
+Ballot = tuple[int, str]  # a counter, and the name of the proposing member, which makes the ballot unique
 NO_BALLOT: Ballot = (0, "")
 
 
 class Prepare(msgspec.Struct, tag="prepare"):
-    """CASPaxos, first phase: asks for a promise for this ballot."""
+    """First phase of CASPaxos: asks an acceptor to promise this ballot."""
 
     message_id: int = msgspec.field(name="n")
     key: str
@@ -19,7 +23,7 @@
 
 
 class Accept(msgspec.Struct, tag="accept"):
-    """CASPaxos, second phase: asks to accept this value under the ballot."""
+    """Second phase of CASPaxos: asks an acceptor to accept this value under the ballot."""
 
     message_id: int = msgspec.field(name="n")
     key: str
@@ -28,21 +32,21 @@
 
 
 class Ping(msgspec.Struct, tag="ping"):
-    """Asks for a sign of life; nothing is promised or written."""
+    """Checks that a member answers; the member promises and writes nothing."""
 
     message_id: int = msgspec.field(name="n")
 
 
 class ReadRegister(msgspec.Struct, tag="look"):
-    """Asks for a register's state; nothing is promised or written."""
+    """Asks for the state of a register; the member promises and writes nothing."""
 
     message_id: int = msgspec.field(name="n")
     key: str
-    reader: str = msgspec.field(default="", name="by")  # the member that reads
+    reader: str = msgspec.field(default="", name="by")  # name of the member that reads
 
 
 class Renew(msgspec.Struct, tag="renew"):
-    """Renews a session's lease, acknowledges the revision that it follows, and brings its evidence."""
+    """Renews a session's lease, acknowledges a revision of the document and reports evidence."""
 
     message_id: int = msgspec.field(name="n")
     session: str
@@ -50,10 +54,10 @@
     position: int
     acknowledged_revision: int = msgspec.field(name="seen")
     evidence: msgspec.Raw = msgspec.field(default=msgspec.Raw(b"null"), name="payload")
-    passed: bool = False  # forwarded by a member that does not lead
+    is_forwarded: bool = msgspec.field(default=False, name="passed")  # by a member that does not lead
     policy_vote: msgspec.Raw = msgspec.field(
         default=msgspec.Raw(b"null"), name="says"
-    )  # vote on the fleet's policy; null: none
+    )  # the vote on a change of the fleet's policy; null: none
 
 
 class SubmitOrder(msgspec.Struct, tag="submit"):
@@ -62,27 +66,30 @@
     message_id: int = msgspec.field(name="n")
     session: str
     order: msgspec.Raw
-    passed: bool = False
+    is_forwarded: bool = msgspec.field(default=False, name="passed")
 
 
 class RenewalReply(msgspec.Struct, tag="granted"):
-    """Answers a Renew; the lease counts from when that was sent. lease_ms 0: none is granted."""
+    """Answers a Renew: grants a lease, or rejects the renewal if lease_ms is 0.
+
+    The lease runs from when the Renew was sent.
+    """
 
     message_id: int = msgspec.field(name="n")
     lease_ms: float = 0.0
-    reason: str = msgspec.field(default="", name="why")  # if no lease is granted
+    reason: str = msgspec.field(default="", name="why")  # why no lease is granted
     changes: tuple[DocumentChange, ...] | None = (
-        None  # all after the acknowledged revision; None: see document
+        None  # every change after the acknowledged revision; None: the history lacks some, see document
     )
-    document: Document | None = msgspec.field(default=None, name="whole")
+    document: Document | None = msgspec.field(default=None, name="whole")  # the complete document
     zones_to_probe: tuple[str, ...] = msgspec.field(
         default=(), name="look"
-    )  # zones that the leader wants this scheduler to probe
-    permit_ms: float = 0.0  # permit under the policy in force, counted as the lease is
+    )  # zones that the scheduler should probe
+    permit_ms: float = 0.0  # duration of the policy permit, which runs as the lease does; 0: none
 
 
 class OrderResult(msgspec.Struct, tag="done"):
-    """Answers a SubmitOrder."""
+    """Answers a SubmitOrder: whether the order was carried out, and a text for the operator."""
 
     message_id: int = msgspec.field(name="n")
     is_accepted: bool = msgspec.field(name="ok")
@@ -90,7 +97,7 @@
 
 
 class RegisterReply(msgspec.Struct, tag="reply"):
-    """Answers Prepare, Accept, ReadRegister and Ping: whether granted, and the register's state."""
+    """Answers Prepare, Accept, ReadRegister and Ping: whether it is granted, and the register's state."""
 
     message_id: int = msgspec.field(name="n")
     is_granted: bool = msgspec.field(name="granted")
@@ -100,9 +107,9 @@
 
 
 class Register(msgspec.Struct):
-    """The state of one key at one member."""
+    """The state of one key at one member, as its acceptor stores it."""
 
     key: str
-    promised: Ballot = NO_BALLOT
+    promised_ballot: Ballot = msgspec.field(default=NO_BALLOT, name="promised")
     accepted_ballot: Ballot = msgspec.field(default=NO_BALLOT, name="accepted")
     value: str | None = None
--- a/spanwing/store/shared_settings.py
+++ b/spanwing/store/shared_settings.py
@@ -1,4 +1,4 @@
-"""The settings shared by all members: those of the highest revision that any member has offered."""
+"""The settings that all members share: those with the highest revision that any member has proposed."""
 
 from __future__ import annotations
 
@@ -15,27 +15,28 @@
 
 
 class SharedSettings(msgspec.Struct):
-    """The settings' register: a revision and the settings' text."""
+    """The value of the settings' register: a revision, and the settings as text."""
 
     revision: int
     settings: str
 
 
 async def agree_on_settings(store: Store, revision: int, settings: str) -> str:
-    """Offers this member's settings; returns those in force.
+    """Proposes this member's settings and returns the settings in force, as text.
 
-    Without a majority it retries every RETRY_INTERVAL_S: a guess could differ from other members' settings.
+    Without a majority it retries every RETRY_INTERVAL_S, without limit: settings used without agreement could
+    differ from those of other members.
     """
 
-    def keep_highest_revision(held: str | None) -> str:
-        if held is not None and msgspec.json.decode(held, type=SharedSettings).revision >= revision:
-            return held
+    def keep_highest_revision(stored: str | None) -> str:
+        if stored is not None and msgspec.json.decode(stored, type=SharedSettings).revision >= revision:
+            return stored
         return msgspec.json.encode(SharedSettings(revision, settings)).decode()
 
     while True:
         try:
-            held = await store.change("settings", keep_highest_revision)
-            return msgspec.json.decode(held, type=SharedSettings).settings
+            stored = await store.change("settings", keep_highest_revision)
+            return msgspec.json.decode(stored, type=SharedSettings).settings
         except NoQuorumError as error:
-            log.warning("settings: %s; asking again", error)
+            log.warning("settings are not agreed on yet: %s; retrying", error)
             await sleep(RETRY_INTERVAL_S)
--- a/tests/test_document.py
+++ b/tests/test_document.py
@@ -103,7 +103,9 @@
             self.assertEqual(seen, "new")
         if accepted == 0:
             self.assertEqual(seen, "old")
-            self.assertEqual([each.registers["k"].promised for each in copies], [(1, "a")] * 3, "it wrote")
+            self.assertEqual(
+                [each.registers["k"].promised_ballot for each in copies], [(1, "a")] * 3, "it wrote"
+            )
         # A write that stopped half done may take hold between two reads, but what was read of it stays.
         again = await Store("a", copies[0], peers, 2, 50.0).read_register("k")
         self.assertIn(again, ("new",) if seen == "new" else ("old", "new"))
@@ -144,7 +146,7 @@
             with mock.patch.object(log, "_compact", side_effect=OSError(28, "full")):
                 for number in range(1, 9):
                     log.save(Register("k", (number, "a"), (number, "a"), "x" * 200))
-            self.assertEqual(log._load()["k"].promised, (8, "a"))
+            self.assertEqual(log._load()["k"].promised_ballot, (8, "a"))
             log.log_file.close()
             log.lock_file.close()
 
