--- a/spanwing/store/document.py
+++ b/spanwing/store/document.py
@@ -1,10 +1,11 @@
-"""One document of keys, changed by transactions of several keys; its history lets watchers catch up.
+"""A document of keys and values, which transactions change and watchers follow by its history.
 
-Pure. A transaction applies as a whole or not at all, and each change raises the revision by one.
-changes_after() returns every change after a revision, or says that the history no longer reaches back. A
-transaction is known by its id while it is in the history, so that one with an unknown outcome can be
-retried. Bounds: MAX_KEYS keys of MAX_KEY_BYTES, values of MAX_VALUE_BYTES, MAX_DOCUMENT_BYTES in all, and a
-history of MAX_HISTORY_CHANGES changes and MAX_HISTORY_BYTES.
+Pure. A transaction applies as a whole or not at all, and raises the document's revision by one. While it is
+in the history, applying it again has no effect, so that a transaction with an unknown outcome can be
+retried. A watcher that missed more than the history contains needs the complete document.
+
+Bounds: MAX_KEYS keys of MAX_KEY_BYTES, values of MAX_VALUE_BYTES, MAX_DOCUMENT_BYTES in all, and a history of
+MAX_HISTORY_CHANGES changes and MAX_HISTORY_BYTES.
 """
 
 from __future__ import annotations
@@ -17,26 +18,29 @@
 
 
 class DocumentEntry(msgspec.Struct, frozen=True, array_like=True):
-    """A value, and the revision in which it was written."""
+    """The value of a key, and the revision that wrote it."""
 
     value: str
     revision: int
 
 
 class DocumentChange(msgspec.Struct, frozen=True, array_like=True):
-    """What one transaction wrote; None: the key was deleted."""
+    """The writes of one transaction; a value of None deleted the key."""
 
     revision: int
     transaction_id: str
     writes: dict[str, str | None]
 
     def size_in_bytes(self) -> int:
-        """Returns the approximate size of the change in the history, with 40 bytes of overhead."""
+        """Returns the approximate size of the change in the history: its text plus 40 bytes of overhead."""
         return 40 + sum(len(key) + len(value or "") for key, value in self.writes.items())
 
 
 class Transaction(msgspec.Struct, frozen=True):
-    """Writes that apply only if each key still has its expected revision; 0: the key does not exist."""
+    """Writes that apply only if each key in expected_revisions still has that revision.
+
+    Revision 0 means that the key does not exist. A written value of None deletes the key.
+    """
 
     id: str
     writes: dict[str, str | None]
@@ -56,17 +60,17 @@
         return None if entry is None else entry.value
 
     def current_revisions(self, *keys: str) -> dict[str, int]:
-        """Returns these keys' revisions, as conditions that they stay unchanged."""
+        """Returns the revisions of these keys, 0 for a missing key, for use as expected_revisions."""
         return {key: self.entries[key].revision if key in self.entries else 0 for key in keys}
 
     def has_applied(self, transaction_id: str) -> bool:
-        """Returns whether this transaction has been applied, as far as the history reaches."""
+        """Returns whether the history contains this transaction."""
         return any(each.transaction_id == transaction_id for each in self.history)
 
     def apply(self, transaction: Transaction) -> Document | None:
-        """Returns the document after the transaction, or None if a condition does not hold.
+        """Returns the document after the transaction, or None if an expected revision differs.
 
-        Returns the document itself if the transaction has been applied already. Raises ValueError if the
+        Returns this document itself if the history contains the transaction. Raises ValueError if the
         result would exceed the bounds.
         """
         if self.has_applied(transaction.id):
@@ -80,16 +84,14 @@
                 continue
             if len(key.encode()) > MAX_KEY_BYTES or len(value.encode()) > MAX_VALUE_BYTES:
                 raise ValueError(
-                    f"{key[:40]!r}: a key has {MAX_KEY_BYTES} bytes at most, a value {MAX_VALUE_BYTES}"
+                    f"{key[:40]!r}: a key has up to {MAX_KEY_BYTES} bytes, a value up to {MAX_VALUE_BYTES}"
                 )
             entries[key] = DocumentEntry(value, revision)
         if (
             len(entries) > MAX_KEYS
             or sum(len(k) + len(e.value) for k, e in entries.items()) > MAX_DOCUMENT_BYTES
         ):
-            raise ValueError(
-                f"the fleet's state would go beyond {MAX_KEYS} keys or {MAX_DOCUMENT_BYTES} bytes"
-            )
+            raise ValueError(f"the fleet's state would exceed {MAX_KEYS} keys or {MAX_DOCUMENT_BYTES} bytes")
         history, size = [DocumentChange(revision, transaction.id, transaction.writes)], 0
         for each in reversed(self.history):
             size += each.size_in_bytes()
@@ -101,7 +103,7 @@
     def changes_after(self, revision: int) -> tuple[DocumentChange, ...] | None:
         """Returns every change after this revision, in order.
 
-        None if the history does not reach so far back, or this document never had the revision.
+        Returns None if the history does not reach back that far, or if the document has no such revision.
         """
         if revision == self.revision:
             return ()
@@ -110,11 +112,11 @@
         return self.history[revision + 1 - self.history[0].revision :]
 
     def apply_changes(self, changes: tuple[DocumentChange, ...]) -> Document:
-        """Returns a watcher's copy with the next changes. Raises ValueError if one is missing between."""
+        """Returns this copy of the document with the next changes. Raises ValueError if one is missing."""
         entries, revision = dict(self.entries), self.revision
         for change in changes:
             if change.revision != revision + 1:
-                raise ValueError(f"change {change.revision} does not follow {revision}")
+                raise ValueError(f"change {change.revision} does not follow revision {revision}")
             revision = change.revision
             for key, value in change.writes.items():
                 if value is None:
@@ -127,9 +129,10 @@
 def catch_up(
     local_copy: Document, changes: tuple[DocumentChange, ...] | None, document: Document | None
 ) -> Document:
-    """Returns a watcher's copy after an answer of the leader: with later changes, or the complete document.
+    """Returns a watcher's copy of the document, brought up to date by a reply of the leader.
 
-    Raises ValueError at a gap.
+    The reply has either the later changes or the complete document. Revisions that the copy already has are
+    ignored. Raises ValueError if a change is missing.
     """
     if document is not None:
         return document if document.revision > local_copy.revision else local_copy
@@ -141,10 +144,10 @@
 
 
 def encode_document(document: Document) -> str:
-    """Encodes the document as JSON."""
+    """Returns the document as JSON."""
     return msgspec.json.encode(document).decode()
 
 
 def decode_document(text: str | None) -> Document:
-    """Decodes a document; None is an empty one. Raises ValueError if it is malformed."""
+    """Returns the decoded document, an empty one for None. Raises ValueError if the text is malformed."""
     return Document() if text is None else DOCUMENT_DECODER.decode(text)
--- a/spanwing/store/leader.py
+++ b/spanwing/store/leader.py
@@ -1,10 +1,13 @@
-"""The leader's record of schedulers' sessions, and the leadership itself. Pure; time is passed in.
+"""The leadership of the document, and the leader's sessions with schedulers.
 
-A lease is granted only for a renewal received before a majority read began that showed this member still
-leads (docs/design/zones.md has the proof). has_lease_expired() holds only once a session's holder can act no
-more, also for sessions granted by an earlier leader. An answer has every change after the revision of the
-renewal. Bounds: MAX_SESSIONS, with one pending renewal each, removed SESSION_RETENTION_MS after their last
-renewal.
+Pure: the time is passed in as `now`, in ms. The leader grants a lease only if a majority read that began
+after it received the renewal shows that it still leads (docs/design/zones.md has the proof).
+has_lease_expired() returns True only once no lease of the session can still be valid at its holder, even one
+from an earlier leader. A reply to a renewal contains every change after the revision that the renewal
+acknowledged.
+
+Bounds: MAX_SESSIONS sessions, with one pending renewal each; a session is removed SESSION_RETENTION_MS after
+its last renewal.
 """
 
 from __future__ import annotations
@@ -21,21 +24,21 @@
 from spanwing.store.messages import Renew, RenewalReply
 
 LEADERSHIP_KEY = "keeper"  # the key of the Leadership record
-POLL_HOLD_MS = 400.0  # long poll: a renewal is answered after this without a change
+POLL_HOLD_MS = 400.0  # long poll: a renewal is answered after this time if the document has not changed
 LEADER_SILENCE_MS = (
-    1000.0  # a takeover is due once the leader has not read for this, plus up to as much at random
+    1000.0  # a member takes over after 1 to 2 times this without a read by the leader, drawn at random
 )
 PROBE_REQUEST_INTERVAL_MS, MAX_PROBE_REQUESTS = (
     500.0,
     8,
-)  # at most so many schedulers are asked to probe per interval
+)  # at most MAX_PROBE_REQUESTS schedulers are asked to probe in each interval
 MAX_SESSIONS = 1000
 SESSION_RETENTION_MS = 60_000.0
 MAX_SESSION_NAME_LENGTH = 80
 
 
 class Leadership(msgspec.Struct, frozen=True):
-    """The leading member; each takeover has the next term."""
+    """The leading member, and its term: each takeover begins the next one."""
 
     member: str
     term: int
@@ -43,63 +46,63 @@
 
 @dataclass(slots=True)
 class PendingRenewal:
-    """A renewal that waits for its answer."""
+    """A renewal that has not been answered yet."""
 
     renewal: Renew
     send_answer: Callable[[RenewalReply], None]
     received_at_ms: float
-    is_confirmed: bool = False
+    is_confirmed: bool = False  # by a majority read that began after the renewal was received
 
 
 @dataclass(slots=True)
 class SchedulerSession:
-    """A scheduler in one incarnation."""
+    """The session of one incarnation of a scheduler."""
 
     id: str
     zone: str
     position: int
-    acknowledged_revision: int  # the last revision that it follows
-    confirmed_at_ms: float = -math.inf  # when a renewal was last confirmed, by this member's clock
+    acknowledged_revision: int  # the last revision that the scheduler has applied
+    confirmed_at_ms: float = -math.inf  # when a renewal was last confirmed
     pending_renewal: PendingRenewal | None = None
     last_renewal_at_ms: float = -math.inf  # when the last renewal was received
 
 
 class Controller(Protocol):
-    """Decides what the document becomes while this member leads."""
+    """Decides on changes of the document while this member leads."""
 
     def refresh_worker_list(self, now: float) -> None:
-        """Records what has to be known at a takeover; called about once a second at every member."""
+        """Updates the list of workers that a takeover needs; called about once a second at every member."""
 
     def record_evidence(self, now: float, session: SchedulerSession, evidence: msgspec.Raw) -> None:
-        """Records the evidence of a renewal. Raises ValueError if it is invalid."""
+        """Records the evidence that a renewal reports. Raises ValueError if it is invalid."""
 
     def zones_to_probe(self, now: float, leader: Leader) -> tuple[str, ...]:
-        """Returns zones that some schedulers should probe, as there is too little evidence."""
+        """Returns the zones on which there is too little evidence, for some schedulers to probe."""
 
     def decide_next_change(self, now: float, document: Document, leader: Leader) -> Transaction | None:
-        """Returns the next change, if one is due."""
+        """Returns the transaction of the next change; None if no change is due."""
 
     def handle_order(
         self, now: float, order: msgspec.Raw, document: Document, leader: Leader
     ) -> tuple[Transaction | None, str]:
-        """Returns the change that an order requires, if any, and the text of the answer.
+        """Returns the transaction that an operator's order requires, if any, and the text of the reply.
 
         Raises ValueError if the order is rejected.
         """
 
 
 class PermitAuthority(Protocol):
-    """Grants permits, which last longer than a lease, to sessions that the document names."""
+    """Decides which sessions get a permit, which may be valid for longer than a lease."""
 
     def record_vote(self, session: str, vote: msgspec.Raw) -> None:
-        """Records the vote of a renewal. Raises ValueError."""
+        """Records the vote in a renewal. Raises ValueError if it is invalid."""
 
     def permit_duration_ms(self, session: str, document: Document) -> float:
-        """Returns the permit's duration in ms; 0: none."""
+        """Returns the duration of the session's permit in ms; 0: no permit."""
 
 
 class Leader:
-    """One member's part in the leadership: sessions while it leads, takeover while another is silent."""
+    """One member's part in the leadership: it serves sessions while it leads, else watches the leader."""
 
     permit_authority: PermitAuthority | None = None
 
@@ -111,7 +114,7 @@
         now: float,
         draw_random: Callable[[], float],
     ) -> None:
-        """draw_random: returns a random number from 0 to 1."""
+        """Takes draw_random, which returns a random number from 0 to 1."""
         self.member, self.lease_ms, self.controller, self.draw_random = (
             member,
             lease_ms,
@@ -119,33 +122,33 @@
             draw_random,
         )
         self.document, self.sessions = Document(), dict[str, SchedulerSession]()
-        self.leading_since_ms = now  # takeover or start of the process
-        self.leader_seen_at_ms = now  # the leader's last known read
+        self.leading_since_ms = now  # last start of this member's leadership, or of the process
+        self.leader_seen_at_ms = now  # the last known read by the leader
         self.probes_requested_at_ms = -math.inf  # when schedulers were last asked to probe
         self.takeover_delay_ms = LEADER_SILENCE_MS * (1.0 + draw_random())
-        self.rejected_renewals = 0  # invalid renewals, and those beyond MAX_SESSIONS
+        self.rejected_renewals = 0  # invalid renewals, and those of sessions beyond MAX_SESSIONS
 
     def leadership(self) -> Leadership | None:
-        """Returns the leadership as recorded in the document, or None."""
+        """Returns the leadership according to this member's copy of the document; None if it has none."""
         text = self.document.get_value(LEADERSHIP_KEY)
         return None if text is None else msgspec.json.decode(text, type=Leadership)
 
     def is_leader(self) -> bool:
-        """Returns whether this member leads, by its last document."""
-        keeps = self.leadership()
-        return keeps is not None and keeps.member == self.member
+        """Returns whether this member leads, according to its copy of the document."""
+        leadership = self.leadership()
+        return leadership is not None and leadership.member == self.member
 
     def record_read(self, now: float, member: str) -> None:
-        """Records that a member has read the document; if it is the leader, that is its sign of life."""
-        keeps = self.leadership()
-        if keeps is not None and keeps.member == member:
+        """Records that a member has read the document. A read by the leader shows that it is alive."""
+        leadership = self.leadership()
+        if leadership is not None and leadership.member == member:
             self.leader_seen_at_ms = now
 
     def handle_renewal(self, now: float, renewal: Renew, send_answer: Callable[[RenewalReply], None]) -> None:
-        """Takes in a renewal, which is answered exactly once.
+        """Processes a renewal; send_answer is called exactly once for it.
 
-        It is rejected now or by handle_read(), or answered by answer_due_renewals(), a later renewal or the
-        loss of the leadership.
+        An invalid renewal is rejected here, and one with an unknown revision by handle_read(). Others are
+        answered by answer_due_renewals(), when the session renews again, or when this member no longer leads.
         """
         if not 0 < len(renewal.session) <= MAX_SESSION_NAME_LENGTH or renewal.acknowledged_revision < 0:
             self.rejected_renewals += 1
@@ -174,19 +177,22 @@
             self.rejected_renewals += 1
 
     def needs_confirming_read(self) -> bool:
-        """Returns whether a pending renewal still needs a majority read before it can be granted."""
+        """Returns whether a pending renewal needs a majority read before it can be granted."""
         return any(
             each.pending_renewal is not None and not each.pending_renewal.is_confirmed
             for each in self.sessions.values()
         )
 
     def handle_read(self, now: float, read_started_at: float, document: Document) -> None:
-        """Takes in the document of a majority read that began at read_started_at."""
+        """Processes the document from a majority read that began at read_started_at.
+
+        Confirms the renewals that were received before, if this member leads.
+        """
         was_leader, previous_leadership = self.is_leader(), self.document.get_value(LEADERSHIP_KEY)
         if document.revision >= self.document.revision:
             self.document = document
         if self.document.get_value(LEADERSHIP_KEY) != previous_leadership:
-            self.leader_seen_at_ms = now  # a new leader gets the full time to show that it lives
+            self.leader_seen_at_ms = now  # a new leader has the full delay until its first read
         if not self.is_leader():
             if was_leader:
                 self.reject_pending_renewals("another member keeps now")
@@ -198,9 +204,7 @@
             pending = session.pending_renewal
             if pending is None or pending.received_at_ms > read_started_at or pending.is_confirmed:
                 continue
-            if (
-                pending.renewal.acknowledged_revision > document.revision
-            ):  # a revision that no document has had
+            if pending.renewal.acknowledged_revision > document.revision:  # no document has had this revision
                 self.rejected_renewals += 1
                 session.pending_renewal = None
                 pending.send_answer(
@@ -217,21 +221,22 @@
             )
 
     def handle_change(self, now: float, document: Document) -> None:
-        """Takes in the document after this member's change was accepted by a majority."""
+        """Processes the document that a majority accepted after a transaction of this member."""
         was_leader = self.is_leader()
         self.document = document
         if self.is_leader() and not was_leader:
             self._begin_leading(now)
 
     def _begin_leading(self, now: float) -> None:
-        """Starts the leadership: leases granted before may be in use for one more lease."""
+        """Records the start of this member's leadership; leases of earlier leaders may still be valid."""
         self.leading_since_ms = now
 
     def answer_due_renewals(self, now: float) -> None:
-        """Answers confirmed renewals that are due, and removes old sessions.
+        """Answers the confirmed renewals that are due, and removes old sessions.
 
-        Due are those with changes to report, those pending for POLL_HOLD_MS, and at most MAX_PROBE_REQUESTS
-        drawn at random per PROBE_REQUEST_INTERVAL_MS to ask for probes.
+        A renewal is due if there are changes to report or if it has been pending for POLL_HOLD_MS. If there
+        are zones to probe, at most MAX_PROBE_REQUESTS renewals, drawn at random, are answered early in each
+        PROBE_REQUEST_INTERVAL_MS to ask for probes.
         """
         if (
             self.is_leader()
@@ -285,7 +290,7 @@
         )
 
     def reject_pending_renewals(self, reason: str) -> None:
-        """Rejects all pending renewals and forgets the sessions, as this member does not lead."""
+        """Rejects all pending renewals and removes all sessions, as this member no longer leads."""
         for session in self.sessions.values():
             pending, session.pending_renewal = session.pending_renewal, None
             if pending is not None:
@@ -293,9 +298,9 @@
         self.sessions.clear()
 
     def has_lease_expired(self, session_id: str, now: float) -> bool:
-        """Returns whether this session's holder can act no more.
+        """Returns whether every lease granted to this session so far has expired at its holder.
 
-        If so, it cannot act again without a new grant.
+        This includes leases from earlier leaders. The holder cannot act again without a new lease.
         """
         known_session = self.sessions.get(session_id)
         confirmed_at = (
@@ -306,7 +311,7 @@
         return now >= lease_expiry_ms(confirmed_at, self.lease_ms)
 
     def active_sessions(self, now: float) -> list[SchedulerSession]:
-        """Returns the sessions that, as far as this member knows, have a valid lease from it."""
+        """Returns the sessions to which this member has granted a lease that may still be valid."""
         return [
             each
             for each in self.sessions.values()
@@ -314,7 +319,7 @@
         ]
 
     def is_acknowledged_by(self, revision: int, session_ids: list[str], now: float) -> bool:
-        """Returns whether each of these sessions follows this revision or has expired."""
+        """Returns whether each of these sessions has acknowledged this revision or has no valid lease."""
         for session_id in session_ids:
             session = self.sessions.get(session_id)
             if not self.has_lease_expired(session_id, now) and (
@@ -324,22 +329,22 @@
         return True
 
     def is_leader_silent(self, now: float) -> bool:
-        """Returns whether the leader has been silent for so long that this member should take over."""
+        """Returns whether this member should take over, as the leader has been silent for too long."""
         return not self.is_leader() and now - self.leader_seen_at_ms > self.takeover_delay_ms
 
     def takeover_transaction(self, now: float, transaction_id: str) -> Transaction:
-        """Returns the change by which this member takes over, and restarts its takeover delay."""
+        """Returns the transaction by which this member takes over, and restarts its takeover delay."""
         self.leader_seen_at_ms, self.takeover_delay_ms = now, LEADER_SILENCE_MS * (1.0 + self.draw_random())
         previous = self.leadership()
-        mine = Leadership(self.member, 1 if previous is None else previous.term + 1)
+        next_leadership = Leadership(self.member, 1 if previous is None else previous.term + 1)
         return Transaction(
             transaction_id,
-            {LEADERSHIP_KEY: msgspec.json.encode(mine).decode()},
+            {LEADERSHIP_KEY: msgspec.json.encode(next_leadership).decode()},
             self.document.current_revisions(LEADERSHIP_KEY),
         )
 
     def on_condition_of_leadership(self, transaction: Transaction) -> Transaction:
-        """Returns the change with the condition that this member still leads."""
+        """Returns the transaction with the added condition that the leadership has not changed."""
         return Transaction(
             transaction.id,
             transaction.writes,
