--- a/spanwing/store/claims.py
+++ b/spanwing/store/claims.py
@@ -34,9 +34,8 @@
         self.store = store
         self.settling_count = 0  # outcomes that are not in the store yet
         self.settling_claims: dict[str, Claim] = {}  # the claims with these outcomes, by request
-        self.unconfirmed_tokens: dict[
-            str, set[str]
-        ] = {}  # tokens whose claim no majority has confirmed, by request
+        # By request: the tokens of claims that no majority has confirmed.
+        self.unconfirmed_tokens: dict[str, set[str]] = {}
 
     async def claim(self, request_id: str) -> tuple[bool, Claim]:
         """Claims a request; returns whether this call's claim is in force, and the claim in force.
--- a/spanwing/store/document_service.py
+++ b/spanwing/store/document_service.py
@@ -1,8 +1,9 @@
-"""Runs the document's leader at a member: reads, takes over, commits changes, answers schedulers.
+"""The service for the fleet's document at one member of the store.
 
-A scheduler's message is answered within ANSWER_TIMEOUT_S, whoever leads; one that comes to another member is
-forwarded to the leader, once. The loop ends with the program. A disk or a majority that fails is logged once
-until it is back, and changes nothing that was granted. Bounds: MAX_PENDING_ORDERS orders wait.
+It drives a Leader: reads the document, takes over the leadership, commits changes and answers schedulers. A
+scheduler's message is answered within ANSWER_TIMEOUT_S. A member that does not lead forwards it to the
+leader; a forwarded message is not forwarded again. A failing disk or a missing majority is logged once until
+it recovers, and does not affect leases that were granted before. Bounds: MAX_PENDING_ORDERS pending orders.
 """
 
 from __future__ import annotations
@@ -28,9 +29,8 @@
 
 DOCUMENT_KEY = "fleet"
 LOOP_INTERVAL_S = 0.025
-LEADER_READ_INTERVAL_MS = (
-    300.0  # the leader's longest time between reads, which show the others that it lives
-)
+#: The leader reads at least this often, which shows the other members that it is alive.
+LEADER_READ_INTERVAL_MS = 300.0
 LIST_REFRESH_INTERVAL_MS = 1000.0
 ANSWER_TIMEOUT_S = 3.0
 MAX_PENDING_ORDERS = 16
@@ -39,34 +39,37 @@
 
 
 class DocumentService:
-    """One member's service for the fleet's document."""
+    """Serves the fleet's document at one member; run() is its background task."""
 
     def __init__(self, store: Store, listener: PeerListener, controller: Controller, lease_ms: float) -> None:
         self.store, self.controller = store, controller
         self.peers: dict[str, Peer] = dict(zip(store.peer_names, store.peers, strict=True))
         self.leader = Leader(store.member, lease_ms, controller, clock_ms(), random.random)
         self.pending_orders: list[tuple[SubmitOrder, Future[OrderResult]]] = []
-        self.last_read_at_ms, self.failure = float("-inf"), ""
+        self.last_read_at_ms, self.logged_failure = float("-inf"), ""
         self.list_refreshed_at_ms = float("-inf")
         listener.handle_message = self.handle_message
         listener.on_read = lambda member: self.leader.record_read(clock_ms(), member)
 
     async def run(self) -> None:
-        """Runs run_once() every LOOP_INTERVAL_S, to the end of the program."""
+        """Calls run_once() every LOOP_INTERVAL_S, until the program ends."""
         while True:
             try:
                 await self.run_once()
-                if self.failure:
+                if self.logged_failure:
                     log.warning("the fleet's state can be changed again")
-                self.failure = ""
+                self.logged_failure = ""
             except (NoQuorumError, OSError, ValueError) as error:
-                if not self.failure:
+                if not self.logged_failure:
                     log.warning("the fleet's state cannot be changed: %s", error)
-                self.failure = str(error)
+                self.logged_failure = str(error)
             await sleep(LOOP_INTERVAL_S)
 
     async def run_once(self) -> None:
-        """Does what is due. Raises NoQuorumError, OSError or ValueError."""
+        """Reads the document, takes over, commits orders and changes, and answers renewals, as each is due.
+
+        Raises NoQuorumError, OSError or ValueError.
+        """
         leader, now = self.leader, clock_ms()
         if now - self.list_refreshed_at_ms > LIST_REFRESH_INTERVAL_MS:
             self.list_refreshed_at_ms = now
@@ -93,22 +96,30 @@
         self.leader.handle_read(clock_ms(), read_started_at, document)
 
     async def commit(self, transaction: Transaction) -> bool:
-        """Returns whether the transaction was applied. Raises NoQuorumError (it may be), ValueError."""
+        """Applies a transaction to the document; returns False if one of its conditions does not hold.
+
+        Raises NoQuorumError, after which the transaction may still be applied, OSError, or ValueError if the
+        document would exceed its bounds.
+        """
         has_applied: list[bool] = []
 
-        def apply(stored: str | None) -> str | None:
+        def apply_transaction(stored: str | None) -> str | None:
             has_applied[:] = [False]
             document = decode_document(stored)
-            after = document.apply(transaction)
-            has_applied[:] = [after is not None]
-            return stored if after is None or after is document else encode_document(after)
+            changed_document = document.apply(transaction)
+            has_applied[:] = [changed_document is not None]
+            return (
+                stored
+                if changed_document is None or changed_document is document
+                else encode_document(changed_document)
+            )
 
-        document = decode_document(await self.store.change(DOCUMENT_KEY, apply))
+        document = decode_document(await self.store.change(DOCUMENT_KEY, apply_transaction))
         self.leader.handle_change(clock_ms(), document)
         return has_applied[0]
 
     async def _handle_orders(self) -> None:
-        """Carries out the pending orders, one after another."""
+        """Carries out the pending orders in the order of their arrival."""
         while self.pending_orders:
             message, result_future = self.pending_orders.pop(0)
             try:
@@ -129,7 +140,11 @@
                 result_future.set_result(result)
 
     async def handle_message(self, message: Renew | SubmitOrder) -> RenewalReply | OrderResult:
-        """Returns the answer to a scheduler: this member's if it leads, else the leader's."""
+        """Returns the reply to a scheduler's message.
+
+        This member replies itself if it leads; otherwise it forwards the message to the leader, or rejects it
+        if it knows no leader or the message was forwarded already.
+        """
         leadership = self.leader.leadership()
         if (
             not self.leader.is_leader()
@@ -140,7 +155,7 @@
             return await self._forward_to_leader(self.peers[leadership.member], message)
         answer_future: Future = Future()
         if not self.leader.is_leader():
-            # The leader may not be known here yet; the scheduler retries.
+            # This member may not have read the present leadership yet; the scheduler retries.
             spawn_task(self._learn_leader())
             return _rejection(message, "this member does not keep, and knows of none that does")
         if isinstance(message, Renew):
@@ -188,6 +203,6 @@
 
 
 def local_document(store: Store) -> Document:
-    """Decodes this member's own copy of the document, which may be stale; no member is asked."""
+    """Returns the document in this member's acceptor, which may be stale; asks no other member."""
     register = store.acceptor.registers.get(DOCUMENT_KEY)
     return decode_document(None if register is None else register.value)
--- a/spanwing/store/follower.py
+++ b/spanwing/store/follower.py
@@ -1,10 +1,10 @@
-"""Follows the fleet's document: the scheduler's session, lease and copy, which misses no change.
+"""Follows the fleet's document at a scheduler: one session with its lease and its copy of the document.
 
-Nothing waits for it. on_change is called after each change, before that is acknowledged to the leader. A
-member that does not answer or grants nothing is left for another, after a random wait of at most
-MIN_BACKOFF_S, which doubles up to MAX_BACKOFF_S (full jitter), so that members that come back are not met by
-all schedulers at once. Bounds: one connection, one renewal per MIN_RENEWAL_INTERVAL_S, MAX_PENDING_ORDERS
-orders in flight.
+The copy misses no change; on_change is called with each new copy before it is acknowledged to the leader. If
+a member does not answer or rejects a renewal, the follower tries the next one after a random delay of at most
+MIN_BACKOFF_S, which doubles with each failure up to MAX_BACKOFF_S (full jitter), so that not all schedulers
+connect at once when a member comes back. Bounds: one connection, one renewal per MIN_RENEWAL_INTERVAL_S,
+MAX_PENDING_ORDERS orders in flight.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 from spanwing.store.messages import OrderResult, Renew, RenewalReply, SubmitOrder
 from spanwing.store.peer import CONNECT_TIMEOUT_S, MAX_FRAME_BYTES
 
-ANSWER_TIMEOUT_S = POLL_HOLD_MS / 1000.0 + 0.8  # for a renewal; then another member is used
+ANSWER_TIMEOUT_S = POLL_HOLD_MS / 1000.0 + 0.8  # of a renewal, a long poll; then the next member is tried
 MIN_RENEWAL_INTERVAL_S = 0.1
 MIN_BACKOFF_S, MAX_BACKOFF_S = 0.1, 2.0
 ORDER_TIMEOUT_S = 4.0
@@ -41,7 +41,7 @@
 
 
 class DocumentFollower:
-    """Follows the document in one session, by one member at a time."""
+    """Follows the document in one session, connected to one member at a time."""
 
     def __init__(
         self,
@@ -56,8 +56,8 @@
     ) -> None:
         """Creates a session; run() connects it.
 
-        collect_evidence: returns the JSON that goes with a renewal; on_change: called with each new
-        document; on_probe_request: called with the zones that the leader wants probed.
+        collect_evidence returns the evidence of a renewal as JSON. on_change is called with each new copy of
+        the document, on_probe_request with the zones that the leader asks this scheduler to probe.
         """
         self.session = f"{name[:60]}.{secrets.token_hex(4)}"
         self.zone, self.position, self.members, self.buffers = zone, position, members, buffers
@@ -68,31 +68,35 @@
         )
         self.lease, self.document = Lease(), Document()
         self.permit = Lease()
-        self.policy_vote: Callable[[], msgspec.Raw] | None = None  # vote on the policy; JSON
+        # Returns the vote on a change of the policy as JSON.
+        self.policy_vote: Callable[[], msgspec.Raw] | None = None
         self.last_message_id, self.stream = 0, None
         self.pending_orders: dict[int, Future[OrderResult]] = {}
-        self.pending_grant: Future[RenewalReply | None] | None = None  # a None result: renew_now() was called
+        # The reply to the pending renewal; a result of None means that renew_now() was called.
+        self.pending_grant: Future[RenewalReply | None] | None = None
         self.renewal_id, self.renewed_at_s = 0, float("-inf")
-        self.last_failure = "no member has been asked yet"
-        self.connected_member = ""  # the member in use
-        self.failed_attempts = 0  # members that were tried and granted nothing, in all
+        self.last_failure = "no member has been tried yet"
+        self.connected_member = ""  # name of the member in use
+        self.failed_attempts = 0  # connection attempts, failed or not, that led to no granted renewal
 
     def has_lease(self) -> bool:
-        """Returns whether the lease is valid now."""
+        """Returns whether this session's lease is valid now."""
         return self.lease.is_valid(clock_ms())
 
     def renew_now(self) -> None:
-        """Has a renewal sent beside the waiting one, as there is new evidence to report."""
+        """Sends another renewal without waiting for the pending one, to report new evidence at once."""
         if self.pending_grant is not None and not self.pending_grant.done():
             self.pending_grant.set_result(None)
 
     async def submit_order(self, order: object) -> OrderResult:
-        """Submits an order; returns its result, or a rejection if no member answers.
+        """Submits an operator's order; returns its result, or a rejection if no member answers.
 
-        Waits ORDER_TIMEOUT_S at most; without an answer the order may still be carried out.
+        Waits for at most ORDER_TIMEOUT_S. Without an answer the order may still be carried out.
         """
         if self.stream is None or len(self.pending_orders) >= MAX_PENDING_ORDERS:
-            return OrderResult(0, False, f"no member of the store is reached: {self.last_failure}")
+            return OrderResult(
+                0, False, f"the order cannot be sent to a member of the store: {self.last_failure}"
+            )
         self.last_message_id += 1
         message_id, result_future = self.last_message_id, Future()
         self.pending_orders[message_id] = result_future
@@ -103,13 +107,15 @@
             return await with_timeout(timedelta(seconds=ORDER_TIMEOUT_S), result_future)
         except WaitOver:
             return OrderResult(
-                message_id, False, "no answer: it may still take hold, so look before you order again"
+                message_id,
+                False,
+                "no answer: the order may still take hold; check the state before ordering again",
             )
         finally:
             self.pending_orders.pop(message_id, None)
 
     async def run(self) -> None:
-        """Follows one member after another, to the end of the program."""
+        """Follows one member after another, in random order, until the program ends."""
         names, backoff_s = list(self.members), MIN_BACKOFF_S
         random.shuffle(names)
         attempt = 0
@@ -124,7 +130,7 @@
             backoff_s = min(2.0 * backoff_s, MAX_BACKOFF_S)
 
     async def _follow_member(self, name: str, address: Address) -> bool:
-        """Renews by one member until that fails; returns whether it ever granted."""
+        """Connects to a member and renews until that fails; returns whether any renewal was granted."""
         stream = TcpStream(open_socket(address), max_write_buffer_size=MAX_FRAME_BYTES)
         try:
             await with_timeout(
@@ -134,7 +140,7 @@
             )
         except (WaitOver, StreamClosedError):
             stream.close()
-            self.last_failure = f"{name} cannot be connected to"
+            self.last_failure = f"{name}: cannot connect"
             return False
         self.stream, self.connected_member = LineStream(stream, self.buffers, MAX_FRAME_BYTES), name
         spawn_task(self._read_replies(self.stream))
@@ -149,11 +155,11 @@
         return granted
 
     async def _wait_for_next_renewal(self) -> None:
-        """Waits until MIN_RENEWAL_INTERVAL_S after the last renewal."""
+        """Waits until MIN_RENEWAL_INTERVAL_S after the last renewal was sent."""
         await sleep(max(0.0, self.renewed_at_s + MIN_RENEWAL_INTERVAL_S - clock_ms() / 1000.0))
 
     async def _renew(self, member: str) -> bool:
-        """Renews, and again when renew_now() is called; returns whether a lease was granted."""
+        """Sends a renewal, and another on each renew_now(); returns whether a lease was granted."""
         while True:
             grant_future = self.pending_grant = Future()
             self.last_message_id += 1
@@ -175,14 +181,15 @@
                     policy_vote,
                 )
             ):
-                self.last_failure = f"{member} has closed the connection"
+                self.last_failure = f"{member} closed the connection"
                 return False
             try:
                 reply = await with_timeout(timedelta(seconds=ANSWER_TIMEOUT_S), grant_future)
             except WaitOver:
-                self.last_failure = f"{member} does not answer"
+                self.last_failure = f"{member} did not answer in time"
                 return False
-            if reply is None:  # renew_now(): another renewal, upon which the leader answers this one
+            if reply is None:
+                # renew_now() was called: the leader answers this renewal when it receives the next one.
                 await self._wait_for_next_renewal()
                 continue
             self.last_failure = f"{member}: {reply.reason}" if reply.reason else ""
@@ -200,7 +207,7 @@
             while (line := await stream.read_line()) is not None:
                 self._handle_reply(msgspec.json.decode(line, type=LeaderReply))
         except (LineTooLongError, ValueError):
-            pass  # a peer with another protocol is no member
+            pass  # not the store's protocol: close the connection
         stream.close()
         for message_id, result_future in self.pending_orders.items():
             if not result_future.done():
@@ -208,8 +215,8 @@
                     OrderResult(
                         message_id,
                         False,
-                        "the connection was lost: the order may still take hold, so "
-                        "look before you order again",
+                        "the connection was lost: the order may still take hold; "
+                        "check the state before ordering again",
                     )
                 )
         if self.stream is stream and self.pending_grant is not None and not self.pending_grant.done():
--- a/spanwing/store/leader.py
+++ b/spanwing/store/leader.py
@@ -25,13 +25,10 @@
 
 LEADERSHIP_KEY = "keeper"  # the key of the Leadership record
 POLL_HOLD_MS = 400.0  # long poll: a renewal is answered after this time if the document has not changed
-LEADER_SILENCE_MS = (
-    1000.0  # a member takes over after 1 to 2 times this without a read by the leader, drawn at random
-)
-PROBE_REQUEST_INTERVAL_MS, MAX_PROBE_REQUESTS = (
-    500.0,
-    8,
-)  # at most MAX_PROBE_REQUESTS schedulers are asked to probe in each interval
+#: A member takes over after 1 to 2 times this without a read by the leader; the factor is random.
+LEADER_SILENCE_MS = 1000.0
+#: In each interval at most MAX_PROBE_REQUESTS schedulers are asked to probe.
+PROBE_REQUEST_INTERVAL_MS, MAX_PROBE_REQUESTS = 500.0, 8
 MAX_SESSIONS = 1000
 SESSION_RETENTION_MS = 60_000.0
 MAX_SESSION_NAME_LENGTH = 80
--- a/spanwing/store/messages.py
+++ b/spanwing/store/messages.py
@@ -55,9 +55,8 @@
     acknowledged_revision: int = msgspec.field(name="seen")
     evidence: msgspec.Raw = msgspec.field(default=msgspec.Raw(b"null"), name="payload")
     is_forwarded: bool = msgspec.field(default=False, name="passed")  # by a member that does not lead
-    policy_vote: msgspec.Raw = msgspec.field(
-        default=msgspec.Raw(b"null"), name="says"
-    )  # the vote on a change of the fleet's policy; null: none
+    #: The vote on a change of the fleet's policy; null: none.
+    policy_vote: msgspec.Raw = msgspec.field(default=msgspec.Raw(b"null"), name="says")
 
 
 class SubmitOrder(msgspec.Struct, tag="submit"):
@@ -78,13 +77,11 @@
     message_id: int = msgspec.field(name="n")
     lease_ms: float = 0.0
     reason: str = msgspec.field(default="", name="why")  # why no lease is granted
-    changes: tuple[DocumentChange, ...] | None = (
-        None  # every change after the acknowledged revision; None: the history lacks some, see document
-    )
-    document: Document | None = msgspec.field(default=None, name="whole")  # the complete document
-    zones_to_probe: tuple[str, ...] = msgspec.field(
-        default=(), name="look"
-    )  # zones that the scheduler should probe
+    #: Every change after the acknowledged revision; None if the history lacks some, which sets `document`.
+    changes: tuple[DocumentChange, ...] | None = None
+    document: Document | None = msgspec.field(default=None, name="whole")
+    #: Zones that the scheduler should probe.
+    zones_to_probe: tuple[str, ...] = msgspec.field(default=(), name="look")
     permit_ms: float = 0.0  # duration of the policy permit, which runs as the lease does; 0: none
 
 
--- a/spanwing/store/peer.py
+++ b/spanwing/store/peer.py
@@ -1,7 +1,7 @@
-"""Connections between members over TCP: an actor per peer, and the listener for peers and schedulers.
+"""The store's connections over TCP: one actor per peer, and the listener for peers and schedulers.
 
-A frame has at most MAX_FRAME_BYTES. The connection to a peer that answers nothing for SILENCE_TIMEOUT_S is
-closed and what waits for it fails, so that an open but dead connection retains nothing. At most
+A connection to a peer that answers no request for SILENCE_TIMEOUT_S is closed, and its pending requests fail:
+a dead connection that TCP still regards as open must not hold them. Bounds: messages of MAX_FRAME_BYTES, and
 MAX_CONNECTIONS incoming connections.
 """
 
@@ -36,17 +36,17 @@
 
 MAX_FRAME_BYTES = 256 * 1024
 CONNECT_TIMEOUT_S = 0.3
-SILENCE_TIMEOUT_S = 2.0  # four rounds: a connection that answers none is dead, whatever TCP says
+SILENCE_TIMEOUT_S = 2.0  # four phases of ROUND_TIMEOUT_MS, none of them answered
 MAX_CONNECTIONS = 1024
 
 StoreRequest = Prepare | Accept | ReadRegister | Ping | Renew | SubmitOrder
 StoreResponse = RegisterReply | RenewalReply | OrderResult
-#: Answers schedulers' messages; its result is awaited and written back.
+#: Returns the reply to a scheduler's message, which is written to the connection.
 MessageHandler = Callable[[Renew | SubmitOrder], Awaitable[RenewalReply | OrderResult]]
 
 
 class Peer(Actor):
-    """Sends requests to one member, over one connection that is opened when needed."""
+    """Sends requests to one member over one connection, which is opened on demand."""
 
     def __init__(self, address: Address, buffers: BufferPool) -> None:
         super().__init__()
@@ -54,19 +54,23 @@
         self.pending_replies: dict[int, Future[StoreResponse | None]] = {}
         self.unanswered_since_s: float | None = None  # loop time of the first request since the last reply
         self.stream: LineStream | None = None
-        self.queued_until_open: list[StoreRequest] | None = None  # to be sent once the connection is up
+        # Requests to send once the connection is open; None unless it is being opened.
+        self.queued_until_open: list[StoreRequest] | None = None
 
     def send_request(self, message: StoreRequest) -> Future[StoreResponse | None]:
-        """Returns a future of the reply, None without a connection; the caller applies a timeout."""
+        """Returns a future of the reply. Its result is None if the connection fails.
+
+        The future has no timeout; the caller applies one.
+        """
         reply: Future[StoreResponse | None] = Future()
         self.post((message, reply))
         return reply
 
     def handle_message(self, message: tuple[StoreRequest, Future[StoreResponse | None]]) -> None:
-        """Sends a request, after a new connection if there is none."""
+        """Sends a request, and first opens a connection if none is open."""
         request, reply = message
-        for n in [n for n, each in self.pending_replies.items() if each.done()]:  # the caller has timed out
-            del self.pending_replies[n]
+        for message_id in [id for id, each in self.pending_replies.items() if each.done()]:  # timed out
+            del self.pending_replies[message_id]
         self.pending_replies[request.message_id] = reply
         now = self.loop.time()
         if self.unanswered_since_s is None:
@@ -126,15 +130,17 @@
 
 
 class PeerListener:
-    """Answers other members' proposers from the acceptor, and schedulers by handle_message, if set."""
+    """Answers the proposers of other members with the acceptor, and schedulers with handle_message if set."""
 
     def __init__(self, address: Address, acceptor: Acceptor, buffers: BufferPool) -> None:
         self.acceptor, self.buffers = acceptor, buffers
         self.handle_message: MessageHandler | None = None
-        self.on_read: Callable[[str], None] | None = None  # called with the member that reads
+        self.on_read: Callable[[str], None] | None = None  # called with the name of a member that reads
         self.open_connections = 0
         self.decoder = msgspec.json.Decoder(StoreRequest)
-        self.address = listen(address, lambda conn: spawn_task(self._serve_connection(conn))).address
+        self.address = listen(
+            address, lambda connection: spawn_task(self._serve_connection(connection))
+        ).address
 
     async def _serve_connection(self, connected_socket) -> None:
         if self.open_connections >= MAX_CONNECTIONS:
@@ -158,7 +164,7 @@
                     self.on_read(message.reader)
                 await stream.write(msgspec.json.encode(self.acceptor.handle_message(message)) + b"\n")
         except (LineTooLongError, ValueError, StreamClosedError, StreamBufferFullError):
-            pass  # a peer with another protocol is no member: close
+            pass  # not the store's protocol, or the connection failed: close it
         finally:
             self.open_connections -= 1
             stream.close()
