--- a/spanwing/policy/__init__.py
+++ b/spanwing/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet-wide policy: one version is in force at every scheduler, or the change is dropped."""
+"""The fleet-wide policy: a change takes effect at every scheduler, or at none."""
--- a/spanwing/policy/combined_controller.py
+++ b/spanwing/policy/combined_controller.py
@@ -1,7 +1,7 @@
-"""The leader's controller for both parts of the document: the zones and the policy.
+"""The leader's controller for both parts of the document: the policy and the zones.
 
-Pure. The policy's change is decided first, as requests may be waiting for it; an order goes to the controller
-that it names.
+Pure. Changes of the policy are decided first, as requests may be queued until they end. An order that is not
+about the policy goes to the zone controller.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class PolicyOrder(msgspec.Struct, forbid_unknown_fields=True):
-    """An operator's order that concerns the policy."""
+    """An operator's order about the policy: propose one, abort the change, or ask what blocks it."""
 
     action: Literal["propose", "abort", "waits"] = msgspec.field(name="policy")
     text: str = ""
@@ -31,9 +31,9 @@
 
 
 class CombinedController:
-    """The policy coordinator and the zone controller as one controller.
+    """The policy coordinator and the zone controller, as one controller.
 
-    The zone controller joins once the scheduler has its policy; until then there is none.
+    There is no zone controller until this member's scheduler has its policy.
     """
 
     def __init__(self, policy_coordinator: PolicyCoordinator) -> None:
@@ -44,21 +44,21 @@
         self.zone_controller = zone_controller
 
     def refresh_worker_list(self, now: float) -> None:
-        """Has the zone controller note the worker list, at every member, in case this one comes to lead."""
+        """Has the zone controller update its list of workers, at every member, in case of a takeover."""
         if self.zone_controller is not None:
             self.zone_controller.refresh_worker_list(now)
 
     def record_evidence(self, now: float, session: SchedulerSession, evidence: msgspec.Raw) -> None:
-        """Passes a session's evidence on to the zone controller."""
+        """Passes a session's evidence to the zone controller. Raises ValueError if it is invalid."""
         if self.zone_controller is not None:
             self.zone_controller.record_evidence(now, session, evidence)
 
     def zones_to_probe(self, now: float, leader: Leader) -> tuple[str, ...]:
-        """Returns the zones that the schedulers should probe; none without a zone controller."""
+        """Returns the zones that some schedulers should probe; none without a zone controller."""
         return () if self.zone_controller is None else self.zone_controller.zones_to_probe(now, leader)
 
     def decide_next_change(self, now: float, document: Document, leader: Leader) -> Transaction | None:
-        """Returns the next transaction: the policy's, else the zones'; None if neither has one."""
+        """Returns the next transaction of the policy, else of the zones; None if neither has one."""
         transaction = self.policy_coordinator.decide_next_change(now, document, leader)
         return (
             self.zone_controller.decide_next_change(now, document, leader)
@@ -69,9 +69,9 @@
     def handle_order(
         self, now: float, order: msgspec.Raw, document: Document, leader: Leader
     ) -> tuple[Transaction | None, str]:
-        """Returns the transaction of an operator's order, if it has one, and the text for the operator.
+        """Returns the transaction that an operator's order requires, if any, and the text of the reply.
 
-        Raises ValueError if the order cannot be read or is rejected.
+        Raises ValueError if the order cannot be decoded or is rejected.
         """
         try:
             policy_order = msgspec.json.decode(order, type=PolicyOrder)
@@ -80,13 +80,13 @@
                 raise
             return self.zone_controller.handle_order(now, order, document, leader)
         if policy_order.action == "abort":
-            return self.policy_coordinator.abort(document, policy_order.author), "given up"
+            return self.policy_coordinator.abort(document, policy_order.author), "the change is aborted"
         if policy_order.action == "waits":
             blocking = self.policy_coordinator.blocking_schedulers(now, document, leader)
-            return None, "; ".join(f"{name} {why}" for name, why in sorted(blocking.items()))
+            return None, "; ".join(f"{name} {reason}" for name, reason in sorted(blocking.items()))
         if not MIN_CHANGE_TIMEOUT_S <= policy_order.timeout_s <= MAX_CHANGE_TIMEOUT_S:
             raise ValueError(
-                f"--wait: {MIN_CHANGE_TIMEOUT_S:g} to {MAX_CHANGE_TIMEOUT_S:g} seconds are possible"
+                f"--wait: {MIN_CHANGE_TIMEOUT_S:g} to {MAX_CHANGE_TIMEOUT_S:g} seconds are allowed"
             )
         transaction = self.policy_coordinator.propose(
             document,
--- a/spanwing/policy/coordinator.py
+++ b/spanwing/policy/coordinator.py
@@ -1,11 +1,12 @@
-"""The policy coordinator, at the leader: brings each change of policy to one outcome.
+"""The policy coordinator at the leader: it registers schedulers and decides on changes of the policy.
 
-It also registers schedulers. Pure: the time is passed in. Each transaction holds only if the entries that it
-was made from still stand. A version comes into force only once every session that may hold a permit has
-acknowledged that the former version is closed, or can no longer accept requests (docs/design/policy.md has
-the proof).
+Pure: the time is passed in as `now`, in ms. Each transaction applies only if the entries that it was computed
+from are unchanged. A change is first `asking`: every session that may hold a permit votes. Once all agree, it
+is `closing`: no scheduler accepts requests. The new version comes into force only once each of these sessions
+has acknowledged the closing or can no longer accept requests, because its permit has expired or because the
+operator has declared it gone (docs/design/policy.md has the proof).
 
-Bounds: one change at a time, MAX_SCHEDULERS names, one vote and one permit time for each.
+Bounds: one change at a time, MAX_SCHEDULERS names, and one vote and one permit time for each.
 """
 
 from __future__ import annotations
@@ -38,96 +39,97 @@
 from spanwing.store.document import Document, Transaction
 from spanwing.store.lease import lease_expiry_ms
 
-CLOSING_TIMEOUT_MS = 200.0  # requests wait while a change is closing: after this it returns to asking
-MAX_CONTACT_AGE_MS = 1000.0  # closing begins only if every participant was in contact within this
-REVERT_BACKOFF_MS = 500.0  # after a return to asking, closing begins no sooner than this
+CLOSING_TIMEOUT_MS = 200.0  # after this a closing change returns to asking, as requests are queued meanwhile
+MAX_CONTACT_AGE_MS = 1000.0  # longest time since a participant's last renewal for closing to begin
+REVERT_BACKOFF_MS = 500.0  # shortest time from a return to asking until the next closing
 MAX_REASON_LENGTH = 200
 
 
 class PolicyVote(msgspec.Struct, frozen=True, array_like=True):
-    """A participant's vote, as its renewal brings it."""
+    """A participant's vote, as reported in its renewal."""
 
-    wants_permit: bool = False  # asks for a permit
-    change_id: str = ""  # of the change that was validated; empty: none
-    objection: str = ""  # why the change cannot be applied there; empty: ready
+    wants_permit: bool = False  # whether the session should be registered, for a permit
+    change_id: str = ""  # id of the change that was validated; empty: none
+    objection: str = ""  # why the participant cannot apply the change; empty: it can
 
 
 class ParticipantSession(Protocol):
-    """A session as the leader has it."""
+    """What the coordinator reads of a session at the leader."""
 
     confirmed_at_ms: float
     acknowledged_revision: int
 
 
 class SessionRegistry(Protocol):
-    """What the coordinator reads of the leader."""
+    """What the coordinator reads of the leader: its sessions by id."""
 
     leading_since_ms: float
     sessions: Mapping[str, ParticipantSession]
 
 
 class PermitSettings(NamedTuple):
-    """Permit settings from the operator's file."""
+    """The settings of permits, from the operator's file."""
 
-    permit_duration_ms: float  # for which a permit is granted
+    permit_duration_ms: float
 
 
 class PolicyCoordinator:
-    """The leader's controller for the policy."""
+    """Decides on changes of the policy while this member leads."""
 
     def __init__(
         self, permit_settings: PermitSettings, wall_clock_ms: Callable[[], float], new_id: Callable[[], str]
     ) -> None:
-        """Takes the wall clock (ms) and a source of unique ids for changes and transactions."""
+        """Takes a wall clock in ms, and a source of unique ids for changes and transactions."""
         self.permit_settings, self.wall_clock_ms, self.new_id = permit_settings, wall_clock_ms, new_id
-        self.votes: dict[str, PolicyVote] = {}  # by session: the last vote
-        self.permit_confirmed_at_ms: dict[
-            str, float
-        ] = {}  # by session: when its permit was last granted, or may have been
-        self.change_revision_seen: tuple[int, float] = (
-            0,
-            0.0,
-        )  # the change's revision, and when this leader first saw it
-        self.change_started: tuple[str, float] = ("", 0.0)  # the change's id, and since when it is known
+        self.votes: dict[str, PolicyVote] = {}  # the last vote, by session
+        # By session: when a permit was last granted to it, or may have been.
+        self.permit_confirmed_at_ms: dict[str, float] = {}
+        # The last revision of the change, and when this leader first saw it.
+        self.change_revision_seen: tuple[int, float] = (0, 0.0)
+        # The id of the change, and when this leader first saw it.
+        self.change_started: tuple[str, float] = ("", 0.0)
         self.leading_since_ms = -math.inf
-        self.initial_policy = ""  # for a fleet that has no policy yet
+        self.initial_policy = ""  # text of the policy for a fleet that has none yet
 
-    # -- what comes in
+    # -- votes and permits
 
     def record_vote(self, session: str, vote: PolicyVote | msgspec.Raw) -> None:
-        """Records a session's vote. Raises ValueError if it cannot be read."""
+        """Records a session's vote. Raises ValueError if it cannot be decoded."""
         self.votes[session] = (
             vote if isinstance(vote, PolicyVote) else msgspec.json.decode(vote, type=PolicyVote)
         )
 
     def permit_duration_ms(self, session: str, document: Document) -> float:
-        """Returns how long a permit this session may be granted, in ms; 0: none."""
+        """Returns the duration of the permit to grant to this session, in ms; 0: no permit."""
         return self.permit_settings.permit_duration_ms if self.may_hold_permit(session, document) else 0.0
 
     def may_hold_permit(self, session: str, document: Document) -> bool:
-        """Returns whether the document's register names this session, so that it may be granted a permit.
+        """Returns whether this session may be granted a permit, as the document's register names it.
 
-        Called after the read that confirms the renewal.
+        Called with the document of the majority read that confirms the session's renewal.
         """
         return read_policy(document).register.get(scheduler_name(session)) == session
 
-    # -- who may still act
+    # -- permits that may still be valid
 
     def _update_session_state(self, now: float, leader: SessionRegistry, policy: PolicyState) -> None:
-        if (
-            leader.leading_since_ms != self.leading_since_ms
-        ):  # a new term of leadership: permits granted before may still be valid
+        if leader.leading_since_ms != self.leading_since_ms:
+            # A new term: all earlier grants count from its start, as they may be of another leader.
             self.leading_since_ms, self.permit_confirmed_at_ms = leader.leading_since_ms, {}
         registered = set(policy.register.values())
         self.permit_confirmed_at_ms = {
-            id: at for id, at in self.permit_confirmed_at_ms.items() if id in registered
+            session_id: confirmed_at_ms
+            for session_id, confirmed_at_ms in self.permit_confirmed_at_ms.items()
+            if session_id in registered
         }
-        self.votes = {id: says for id, says in self.votes.items() if id in leader.sessions}
-        for id in registered:
-            session = leader.sessions.get(id)
+        self.votes = {
+            session_id: vote for session_id, vote in self.votes.items() if session_id in leader.sessions
+        }
+        for session_id in registered:
+            session = leader.sessions.get(session_id)
             if session is not None and session.confirmed_at_ms > -math.inf:
-                self.permit_confirmed_at_ms[id] = max(
-                    session.confirmed_at_ms, self.permit_confirmed_at_ms.get(id, -math.inf)
+                self.permit_confirmed_at_ms[session_id] = max(
+                    session.confirmed_at_ms, self.permit_confirmed_at_ms.get(session_id, -math.inf)
                 )
         change = policy.change
         if change is not None and self.change_revision_seen[0] != policy.change_revision:
@@ -136,14 +138,14 @@
             self.change_started = change.id, now
 
     def has_permit_expired(self, now: float, session: str, leader: SessionRegistry) -> bool:
-        """Returns whether the session's permit has expired, whichever leader granted it."""
-        granted_at = max(leader.leading_since_ms, self.permit_confirmed_at_ms.get(session, -math.inf))
-        return now >= lease_expiry_ms(granted_at, self.permit_settings.permit_duration_ms)
+        """Returns whether every permit of the session has expired, also those from earlier leaders."""
+        granted_at_ms = max(leader.leading_since_ms, self.permit_confirmed_at_ms.get(session, -math.inf))
+        return now >= lease_expiry_ms(granted_at_ms, self.permit_settings.permit_duration_ms)
 
     def _possible_permit_holders(
         self, now: float, policy: PolicyState, leader: SessionRegistry
     ) -> dict[str, str]:
-        """Returns, by name, the sessions that may hold a permit."""
+        """Returns the registered sessions that may hold a valid permit, by scheduler name."""
         removed_sessions = set(policy.change.removed_sessions) if policy.change is not None else set()
         return {
             name: session
@@ -152,33 +154,33 @@
         }
 
     def blocking_schedulers(self, now: float, document: Document, leader: SessionRegistry) -> dict[str, str]:
-        """Returns, by name, the schedulers that keep the change from going on, and why."""
+        """Returns the schedulers that block the next step of the change: a reason for each name."""
         policy = read_policy(document)
         change = policy.change
         if change is None:
             return {}
-        found = {}
+        reason_by_name = {}
         for name, session in self._possible_permit_holders(now, policy, leader).items():
             participant, vote = leader.sessions.get(session), self.votes.get(session, PolicyVote())
             if participant is None or now - participant.confirmed_at_ms > MAX_CONTACT_AGE_MS:
-                found[name] = "is not in contact"
+                reason_by_name[name] = "is not in contact"
             elif change.state == "closing":
                 if participant.acknowledged_revision < policy.change_revision:
-                    found[name] = "has not said that it takes nothing"
+                    reason_by_name[name] = "has not said that it takes nothing"
             elif vote.change_id != change.id:
-                found[name] = "has not answered"
+                reason_by_name[name] = "has not answered"
             elif vote.objection:
-                found[name] = f"no: {vote.objection}"
-        return found
+                reason_by_name[name] = f"no: {vote.objection}"
+        return reason_by_name
 
-    # -- what comes out
+    # -- transactions
 
     def decide_next_change(
         self, now: float, document: Document, leader: SessionRegistry
     ) -> Transaction | None:
         """Returns the next transaction: the initial policy, registrations, or a step of the change.
 
-        None if there is nothing to do, or if a part of the policy in the document cannot be read.
+        Returns None if nothing is due, or if a record of the policy in the document cannot be decoded.
         """
         policy = read_policy(document)
         if policy.unreadable_keys:
@@ -189,7 +191,7 @@
                 1,
                 policy_digest(self.initial_policy),
                 self.initial_policy,
-                "the first keeper's file",
+                "the first keeper's file",  # stored as the author of the initial policy
                 "",
                 self.wall_clock_ms(),
             )
@@ -205,7 +207,7 @@
     def _register_sessions(
         self, policy: PolicyState, leader: SessionRegistry, document: Document
     ) -> Transaction | None:
-        """Registers, in one transaction, all sessions that ask for a permit and are not in the register."""
+        """Returns a transaction that registers every session that asks for it; None if there is none."""
         register = dict(policy.register)
         for session, vote in self.votes.items():
             name, participant = scheduler_name(session), leader.sessions.get(session)
@@ -235,7 +237,7 @@
             self.blocking_schedulers(now, document, leader),
             now - self.change_revision_seen[1],
         )
-        objections = [f"{name} {why}" for name, why in blocking.items() if why.startswith("no: ")]
+        objections = [f"{name} {reason}" for name, reason in blocking.items() if reason.startswith("no: ")]
         if objections:
             return self._end_change(policy, document, False, objections[0])
         if change.state == "closing":
@@ -248,13 +250,14 @@
                 self.new_id(), {CHANGE_KEY: encode_value(reopened)}, document.current_revisions(CHANGE_KEY)
             )
         if now - self.change_started[1] >= change.timeout_ms:
-            blocking_summary = "; ".join(f"{name} {why}" for name, why in sorted(blocking.items()))
+            blocking_summary = "; ".join(f"{name} {reason}" for name, reason in sorted(blocking.items()))
             return self._end_change(
                 policy, document, False, f"not in time: {blocking_summary or 'it had to go back'}"
             )
         if blocking or (change.revert_count and state_age_ms < REVERT_BACKOFF_MS):
             return None
-        # The end holds only for an unchanged register; a session that registers anew sees `closing` first.
+        # The register is no condition here: _end_change() requires an unchanged one, and a session that
+        # registers later sees `closing` first.
         closing = msgspec.structs.replace(change, state="closing")
         return Transaction(
             self.new_id(),
@@ -265,9 +268,9 @@
     def _end_change(
         self, policy: PolicyState, document: Document, is_accepted: bool, reason: str
     ) -> Transaction:
-        """Returns the transaction that ends the change, accepted or not, in one step.
+        """Returns the transaction that ends the change: the proposed version takes effect, or is dropped.
 
-        It holds only for the register that was evaluated, as every session in it may hold a permit.
+        It applies only if the register is unchanged, as any session in the register may hold a permit.
         """
         proposed = policy.next
         history_entry = PolicyHistoryEntry(
@@ -305,24 +308,25 @@
     ) -> Transaction:
         """Returns the transaction that proposes a policy.
 
-        Raises ValueError with the reason if it is rejected.
+        removed_names are schedulers that the operator declares to be gone for good. Raises ValueError with
+        the reason if the proposal is rejected.
         """
         policy = read_policy(document)
         if policy.unreadable_keys:
             raise ValueError(
-                f"{policy.unreadable_keys[0]} cannot be read: it is of a newer program, or damaged"
+                f"{policy.unreadable_keys[0]} cannot be read: it is damaged, or of a newer program"
             )
         if policy.change is not None:
             raise ValueError(f"version {policy.next.number} by {policy.next.author} is under way")
         if base_version != policy.now.number:
             raise ValueError(
-                f"it was made from version {base_version}, and {policy.now.number} by "
+                f"the proposal is based on version {base_version}, but version {policy.now.number} by "
                 f"{policy.now.author or 'nobody'} is in force"
             )
         if len(text.encode()) > MAX_POLICY_BYTES:
-            raise ValueError(f"{len(text.encode())} bytes, {MAX_POLICY_BYTES} at most")
+            raise ValueError(f"{len(text.encode())} bytes of policy, {MAX_POLICY_BYTES} are allowed")
         if unknown := sorted(set(removed_names) - set(policy.register)):
-            raise ValueError(f"{unknown[0]!r} is no scheduler that is known")
+            raise ValueError(f"{unknown[0]!r} is not a known scheduler")
         proposed = PolicyVersion(
             base_version + 1,
             policy_digest(text),
@@ -331,7 +335,7 @@
             reason[:MAX_REASON_LENGTH],
             self.wall_clock_ms(),
         )
-        # By session: a later incarnation of the same name is not removed.
+        # Names sessions, as a later incarnation of the same scheduler is not gone.
         change = PolicyChange(
             self.new_id(), "asking", timeout_ms, sorted(policy.register[name] for name in removed_names)
         )
@@ -342,7 +346,7 @@
         )
 
     def abort(self, document: Document, author: str) -> Transaction:
-        """Returns the transaction that aborts the change. Raises ValueError if none is under way."""
+        """Returns the transaction that aborts the change. Raises ValueError if no change is under way."""
         policy = read_policy(document)
         if policy.change is None or policy.next is None:
             raise ValueError("no change is under way")
--- a/spanwing/policy/participant.py
+++ b/spanwing/policy/participant.py
@@ -1,7 +1,8 @@
-"""The policy participant, at each scheduler: under which version it may accept a request now.
+"""The policy participant at each scheduler: votes on changes, and decides whether to accept a request now.
 
-Pure: the time is passed in. decide_admission() evaluates one permit and one copy of the document, both at the
-moment of use. Copies of the document only go forward. Bounds: one vote, on one change.
+Pure: the time is passed in as `now`, in ms by the permit's clock. decide_admission() evaluates the permit and
+one copy of the document at the moment of use. The copies' revisions only increase. Bounds: one vote, on one
+change.
 """
 
 from __future__ import annotations
@@ -13,11 +14,11 @@
 from spanwing.policy.records import PolicyState, policy_digest
 from spanwing.store.lease import Lease
 
-MAX_ADMISSION_WAIT_MS = 250.0  # the longest wait of a request that arrives while a change is closing
+MAX_ADMISSION_WAIT_MS = 250.0  # of a request that arrives while a change is closing
 
 
 class AdmissionDecision(NamedTuple):
-    """What to do with a request that arrives now: accept it, queue it or reject it."""
+    """Whether a request that arrives now is accepted ("take"), queued ("hold") or rejected ("refuse")."""
 
     action: Literal["take", "hold", "refuse"]
     version: int = 0
@@ -25,17 +26,20 @@
 
 
 class PolicyParticipant:
-    """One scheduler's part in changes of policy, for one incarnation."""
+    """Takes part in changes of the policy, for one incarnation of a scheduler."""
 
     def __init__(self, session: str, find_objection: Callable[[str], str], permit: Lease) -> None:
-        """Takes find_objection, which returns why a policy's text cannot be applied here; empty: it can."""
+        """Takes find_objection, which returns why a policy text cannot be applied here; empty: it can."""
         self.session, self.find_objection, self.permit = session, find_objection, permit
         self.policy = PolicyState()
         self.vote = PolicyVote(True)
         self.closed_since_ms: float | None = None
 
     def update_policy(self, now: float, policy: PolicyState) -> bool:
-        """Takes a later copy of the document; returns whether another version is in force now."""
+        """Takes over a later state of the policy and votes on a new change.
+
+        Returns whether the version in force has changed.
+        """
         previous, self.policy = self.policy, policy
         if not policy.is_closed():
             self.closed_since_ms = None
@@ -46,19 +50,23 @@
             self.vote = PolicyVote(True)
         elif self.vote.change_id != change.id:
             is_intact = policy_digest(policy.next.text) == policy.next.digest
-            objection = self.find_objection(policy.next.text) if is_intact else "its text is damaged"
+            objection = (
+                self.find_objection(policy.next.text) if is_intact else "its text does not match its digest"
+            )
             self.vote = PolicyVote(True, change.id, objection[:MAX_REASON_LENGTH])
         return policy.now != previous.now
 
     def decide_admission(self, now: float) -> AdmissionDecision:
         """Returns whether a request may be accepted now, and under which version.
 
-        `now` is in ms, by the permit's clock. While a change is closing a request is queued, for
-        MAX_ADMISSION_WAIT_MS after the closing was first seen; then it is rejected.
+        While a change is closing, requests are queued until MAX_ADMISSION_WAIT_MS after this scheduler first
+        saw the closing, and rejected after that.
         """
         policy = self.policy
         if policy.unreadable_keys:
-            return AdmissionDecision("refuse", reason=f"{policy.unreadable_keys[0]} cannot be read here")
+            return AdmissionDecision(
+                "refuse", reason=f"{policy.unreadable_keys[0]} cannot be decoded by this scheduler"
+            )
         if policy.now.number == 0:
             return AdmissionDecision("refuse", reason="no policy is in force")
         if not self.permit.is_valid(now):
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -87,7 +87,7 @@
         ground.until(lambda: self.versions(ground) == {2})
         code, said = self.propose(ground, "--base", "1")
         self.assertEqual((code, said.count("\n")), (1, 1), said)
-        self.assertIn("made from version 1, and 2 by operator at s4", said)
+        self.assertIn("based on version 1, but version 2 by operator at s4", said)
         code, said = self.run_command(ground, "status")
         self.assertEqual((code, "version 2" in said), (0, True), said)
         code, said = self.run_command(ground, "diff", self.file(ground, aim_ms=999.0))
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -129,9 +129,9 @@
         done = document.apply(chair.abort(document, "p"))
         self.assertEqual(read_policy(done).history[-1].reason, "given up by p")
         for text, base, gone, why in (
-            ("x", 0, [], "made from version 0, and 1"),
+            ("x", 0, [], "based on version 0, but version 1"),
             ("x" * (MAX_POLICY_BYTES + 1), 1, [], "bytes"),
-            ("x", 1, ["mars"], "no scheduler that is known"),
+            ("x", 1, ["mars"], "is not a known scheduler"),
         ):
             with self.assertRaisesRegex(ValueError, why):
                 chair.propose(done, text, base, "p", "", 1000.0, gone)
