--- a/spanwing/policy/policy_cache.py
+++ b/spanwing/policy/policy_cache.py
@@ -1,8 +1,9 @@
-"""The policy cache: a scheduler's own folder of policies, to start from while the store is unreachable.
+"""The policy cache: a scheduler's directory of policy versions, for a start while the store is unreachable.
 
-A version counts only once its file is complete and synced under its name; a torn or foreign file is skipped
-and reported. One process at a time locks the folder, until it exits. A permit is stored with the id of the
-boot that its clock belongs to. Bounds: MAX_CACHED_VERSIONS versions.
+A file is written under another name, synced and renamed, so that a crash leaves no incomplete file under the
+final name; files that cannot be decoded or do not match their digest are skipped and reported. One process
+at a time locks the directory, until it exits. A permit is stored with the id of the boot to which its expiry
+refers. Bounds: MAX_CACHED_VERSIONS versions.
 """
 
 from __future__ import annotations
@@ -19,11 +20,11 @@
 
 
 class PolicyCacheError(Exception):
-    """The folder cannot be used; the text says why."""
+    """The cache directory cannot be used; the message says why."""
 
 
 class CachedPermit(msgspec.Struct):
-    """A stored permit: the version, and its expiry in ms by the clock of one boot."""
+    """A stored permit: the version, and its expiry in ms since the boot with this id."""
 
     version: int
     expires_at_ms: float = msgspec.field(name="until")
@@ -31,15 +32,16 @@
 
 
 def current_boot_id() -> str:
-    """Returns the id of the machine's current boot.
-
-    A monotonic clock's value means nothing after another boot.
-    """
+    """Returns the id of the machine's current boot, outside of which the time since boot has no meaning."""
     return Path("/proc/sys/kernel/random/boot_id").read_text().strip()
 
 
 class PolicyCache:
-    """The cache folder, locked for this process. Raises PolicyCacheError."""
+    """The cache directory, locked for this process.
+
+    The constructor loads all versions. It raises PolicyCacheError if another process uses the directory, or
+    if it cannot be read or created.
+    """
 
     def __init__(self, directory: str) -> None:
         self.folder, self.skipped_files = Path(directory), list[str]()
@@ -54,7 +56,7 @@
             raise PolicyCacheError(f"{directory}: {error.strerror}") from None
 
     def _load_versions(self) -> dict[int, PolicyVersion]:
-        found = {}
+        versions = {}
         for path in self.folder.glob("version-*.json"):
             try:
                 version = msgspec.json.decode(path.read_bytes(), type=PolicyVersion)
@@ -62,15 +64,15 @@
                 self.skipped_files.append(f"{path.name}: {error}")
                 continue
             if version.digest and policy_digest(version.text) != version.digest:
-                self.skipped_files.append(f"{path.name}: its text is not the one that was written")
+                self.skipped_files.append(f"{path.name}: its text does not match its digest")
             else:
-                found[version.number] = version
-        return dict(sorted(found.items()))
+                versions[version.number] = version
+        return dict(sorted(versions.items()))
 
     def store_version(self, version: PolicyVersion) -> None:
-        """Stores a version and drops the oldest beyond the bound.
+        """Stores a version, and removes the oldest versions beyond MAX_CACHED_VERSIONS.
 
-        Raises OSError; if the version's own file could not be written, nothing has changed.
+        Raises OSError. If the file of the version could not be written, the cache is unchanged.
         """
         if self.versions.get(version.number) == version:
             return
@@ -81,13 +83,16 @@
             (self.folder / f"version-{number}.json").unlink(missing_ok=True)
 
     def store_permit(self, version_number: int, expires_at_ms: float) -> None:
-        """Stores the permit with the current boot's id. Raises OSError."""
+        """Stores the permit for a version, with the id of the current boot. Raises OSError."""
         self._write_file(
             "permit.json", msgspec.json.encode(CachedPermit(version_number, expires_at_ms, current_boot_id()))
         )
 
     def load_permit(self) -> tuple[PolicyVersion, float] | None:
-        """Returns the version to start with and its permit's expiry in ms; None unless it is of this boot."""
+        """Returns the version of the stored permit, and the permit's expiry in ms since boot.
+
+        Returns None if there is no usable permit of the current boot, or no version for it.
+        """
         try:
             permit = msgspec.json.decode((self.folder / "permit.json").read_bytes(), type=CachedPermit)
         except (OSError, ValueError):
--- a/spanwing/policy/records.py
+++ b/spanwing/policy/records.py
@@ -1,8 +1,8 @@
 """The records of the policy in the fleet's document.
 
-Pure. A record that cannot be read is named by the reader and counts as a closed policy, under which no
-scheduler accepts requests. Bounds: one change at a time, MAX_HISTORY_ENTRIES of history, MAX_POLICY_BYTES of
-policy text, MAX_SCHEDULERS in the register, with names of MAX_NAME_BYTES.
+Pure. read_policy() reports the keys of records that it cannot decode; the policy then counts as closed, and
+no scheduler accepts requests. Bounds: one change at a time, MAX_HISTORY_ENTRIES entries of history,
+MAX_POLICY_BYTES of policy text, MAX_SCHEDULERS schedulers in the register, with names of MAX_NAME_BYTES.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class PolicyVersion(msgspec.Struct, frozen=True):
-    """One version of the policy; number 0 means none."""
+    """One version of the policy; number 0 stands for no policy."""
 
     number: int = 0
     digest: str = ""
@@ -38,42 +38,45 @@
 
 
 class PolicyChange(msgspec.Struct, frozen=True):
-    """The state of the change to the proposed version (under PROPOSED_KEY)."""
+    """A change to the proposed version, which is stored under PROPOSED_KEY.
+
+    In the state "asking" the schedulers validate the version and vote. In the state "closing" no scheduler
+    accepts requests, until the change ends or returns to "asking".
+    """
 
     id: str
     state: Literal["asking", "closing"]
     timeout_ms: float = msgspec.field(name="wait_ms")  # for the whole change, by the leader's clock
-    removed_sessions: list[str] = msgspec.field(
-        default=[], name="gone"
-    )  # sessions that the operator has declared gone for good
+    #: Sessions that the operator has declared to be gone for good.
+    removed_sessions: list[str] = msgspec.field(default=[], name="gone")
     revert_count: int = msgspec.field(default=0, name="tries")  # how often it returned from closing to asking
 
 
 class PolicyHistoryEntry(msgspec.Struct, frozen=True, array_like=True):
-    """How a change ended."""
+    """The outcome of a change."""
 
-    number: int  # of the version that was proposed
+    number: int  # of the proposed version
     wall_ms: float
-    taken: bool
+    taken: bool  # whether the proposed version came into force
     reason: str
     author: str
     digest: str
 
 
 class PolicyState(msgspec.Struct, frozen=True):
-    """Everything that a document holds of the policy."""
+    """The records of the policy, decoded from a document."""
 
-    now: PolicyVersion = PolicyVersion()
-    next: PolicyVersion | None = None
+    now: PolicyVersion = PolicyVersion()  # the version in force
+    next: PolicyVersion | None = None  # the proposed version
     change: PolicyChange | None = None
-    change_revision: int = 0  # the revision of the document that last wrote the change
-    register: dict[str, str] = {}  # by name: the session that may hold a permit
+    change_revision: int = 0  # the document's revision that last wrote the change
+    register: dict[str, str] = {}  # the session that may hold a permit, by scheduler name
     register_revision: int = 0
     history: list[PolicyHistoryEntry] = []
     unreadable_keys: tuple[str, ...] = ()
 
     def is_closed(self) -> bool:
-        """Returns whether no scheduler may accept requests now."""
+        """Returns whether no scheduler may accept requests: a change is closing or a record is unreadable."""
         return bool(self.unreadable_keys) or (self.change is not None and self.change.state == "closing")
 
 
@@ -87,7 +90,7 @@
 
 
 def read_policy(document: Document) -> PolicyState:
-    """Reads the policy's records from a document; `unreadable_keys` lists keys that cannot be decoded."""
+    """Returns the policy's records in a document; `unreadable_keys` lists those that cannot be decoded."""
     fields: dict[str, object] = {}
     unreadable_keys = []
     for key, (name, value_type) in FIELDS_BY_KEY.items():
@@ -105,7 +108,7 @@
 
 
 def encode_value(value: object) -> str:
-    """Encodes a record as the JSON text of a document entry."""
+    """Returns a record as JSON, the value of a document entry."""
     return msgspec.json.encode(value).decode()
 
 
@@ -115,5 +118,5 @@
 
 
 def scheduler_name(session: str) -> str:
-    """Returns the name of the scheduler of which a session is one incarnation."""
+    """Returns the name of a session's scheduler: the session's id without its incarnation."""
     return session.rpartition(".")[0]
--- a/spanwing/policy/service.py
+++ b/spanwing/policy/service.py
@@ -91,9 +91,8 @@
         self.follower.policy_vote = lambda: msgspec.Raw(msgspec.json.encode(self.participant.vote))
         self.on_probe_request: Callable[[tuple[str, ...]], None] = lambda zones: None  # set by the zones
         self.on_document_change: Callable[[Document], None] = lambda document: None
-        self.on_policy_change: list[
-            Callable[[api.Settings], None]
-        ] = []  # called with each policy that is applied here
+        # Called with the settings of each policy that is applied here.
+        self.on_policy_change: list[Callable[[api.Settings], None]] = []
         self.request_manager: RequestManager | None = None
         self.active_version = PolicyVersion()  # under which the scheduler runs
         self.queued_requests: deque[tuple[float, RequestSubmitted]] = deque()
@@ -152,9 +151,8 @@
 
     def admit(self, submitted: RequestSubmitted) -> bool:
         """Returns whether the request may be accepted now; if not, it is queued here or rejected."""
-        if any(
-            submitted is each for each in self.abandoned_requests
-        ):  # the notice of its disconnect was ahead of it in the mailbox
+        if any(submitted is each for each in self.abandoned_requests):
+            # In the mailbox, the client's disconnect was ahead of the resubmitted request.
             self.abandoned_requests = [each for each in self.abandoned_requests if each is not submitted]
             return False
         self.resubmitted_requests = [each for each in self.resubmitted_requests if each is not submitted]
--- a/spanwing/policy/state_transfer.py
+++ b/spanwing/policy/state_transfer.py
@@ -1,8 +1,9 @@
-"""Rebuilds the scheduler for another policy, with the estimates of the former one.
+"""Creates the scheduler for another policy from the state of the previous one.
 
-Pure. The new scheduler knows the same workers, estimates, counts and warm-up budgets. The former one goes on
-deciding about its own requests, so its slots in flight count as load of others. Workers that are warming up
-are fed by the new one alone: one budget, one feeder. A tenant's credit is scaled in proportion to its quota.
+Pure. The new scheduler starts with the same workers, estimates, counts and warm-up budgets. The previous one
+keeps deciding on its own open requests, so their slots in flight count as load from others. Only the new
+scheduler feeds workers that are warming up, so that each has one feeder with one budget. A tenant's credit is
+scaled in proportion to its quota.
 """
 
 from __future__ import annotations
@@ -19,7 +20,10 @@
 
 
 def create_scheduler(settings: api.Settings, seed: int, now: float, previous: Dispatcher) -> Dispatcher:
-    """Returns a scheduler for the new settings, which knows no worker list yet (see known_workers)."""
+    """Returns a scheduler for the new settings, with the previous one's state except for that of workers.
+
+    It has no worker list yet: notify it of known_workers(), then call transfer_worker_estimates().
+    """
     scheduler = Dispatcher(settings, seed, now)
     import_scheduler(scheduler, export_scheduler(previous, None, ""), now)
     for name, account in scheduler.ledgers.items():
@@ -31,13 +35,13 @@
 
 
 def known_workers(previous: Dispatcher) -> api.WorkerList:
-    """Returns the former scheduler's worker list, without workers that are gone."""
+    """Returns the previous scheduler's worker list, without workers that are gone."""
     entries = (view.entry for view in previous.views.values() if view.entry.state != "gone")
     return api.WorkerList("persisted", tuple(entries))
 
 
 def transfer_worker_estimates(scheduler: Dispatcher, previous: Dispatcher, now: float) -> None:
-    """Copies each worker's estimates; the former scheduler stops feeding.
+    """Copies the estimates of each worker to the new scheduler, and ends feeding by the previous one.
 
     Called once the new scheduler has the worker list.
     """
