--- a/spanwing/store/document_service.py
+++ b/spanwing/store/document_service.py
@@ -132,7 +132,9 @@
                 result = OrderResult(
                     message.message_id,
                     is_accepted,
-                    text if is_accepted else "another change came first: look and order again",
+                    text
+                    if is_accepted
+                    else "another change was applied first; check the state and order again",
                 )
             except (ValueError, NoQuorumError, OSError) as error:
                 result = OrderResult(message.message_id, False, str(error))
@@ -165,7 +167,7 @@
         elif len(self.pending_orders) < MAX_PENDING_ORDERS:
             self.pending_orders.append((message, answer_future))
         else:
-            return OrderResult(message.message_id, False, f"{MAX_PENDING_ORDERS} orders wait already")
+            return OrderResult(message.message_id, False, f"{MAX_PENDING_ORDERS} orders are pending already")
         try:
             return await with_timeout(timedelta(seconds=ANSWER_TIMEOUT_S), answer_future)
         except WaitOver:
