--- a/spanwing/policy/validation.py
+++ b/spanwing/policy/validation.py
@@ -1,9 +1,10 @@
-"""Validates a proposed policy against this process and its state: no objection, or one reason.
+"""Validates a proposed policy against this process and its current state.
 
-Pure; find_objection() never raises: text that cannot be read is an objection. A policy with fields that this
-program does not know (of a newer program) is rejected, not applied in part. Promises made to clients must
-hold: a class cannot be removed, nor change its effect or its group, while requests of it are open, and an
-idempotency window cannot shrink while a key of it may be used again.
+Pure. find_objection() never raises: text that cannot be decoded is an objection. A policy with unknown
+fields, as of a newer program, is rejected instead of being applied in part. Guarantees given to clients must
+hold. While requests of a class are open, it cannot be removed, and its effect, group and kind cannot change.
+While an idempotency key of a class may be used again, the class must stay keyed and in its group, and its
+window cannot shrink.
 
 Bounds: MAX_POLICY_BYTES of text, MAX_CLASSES, MAX_TENANTS.
 """
@@ -21,32 +22,36 @@
 from spanwing.settings import SETTING_NAMES, PlatformSettings, scheduler_settings
 
 MAX_CLASSES, MAX_TENANTS = 64, 2000
-PER_SCHEDULER_SETTINGS = ("position", "zone")  # a member's own, never part of a policy
-RESTART_SETTINGS = ("report_fields", "max_retry_after", "subscribe", "probes")  # read only at the start
+PER_SCHEDULER_SETTINGS = ("position", "zone")  # never part of a policy
+# Read only when the process starts; the second tuple names settings of `permissions`.
+RESTART_SETTINGS = ("report_fields", "max_retry_after", "subscribe", "probes")
 CONNECTION_SETTINGS = ("conn_idle_ms", "connect_timeout_ms")
-TENANT_MEMORY_KB, TENANT_CLASS_MEMORY_KB = 0.4, 0.1  # for each tenant, and for each class of a tenant
+TENANT_MEMORY_KB, TENANT_CLASS_MEMORY_KB = 0.4, 0.1  # per tenant, and per class of each tenant
 
 
 class RunningState(NamedTuple):
-    """What a policy is validated against at this scheduler."""
+    """The state of this scheduler that a policy is validated against."""
 
-    settings: api.Settings  # in use, with this scheduler's own position and zone
-    open_requests: Mapping[str, int] = {}  # by class: unanswered, or with an attempt in flight
-    idempotency_windows_ms: Mapping[str, float] = {}  # by keyed class: ms until no open key may be used again
+    settings: api.Settings  # in force, with the position and zone of this scheduler
+    open_requests: Mapping[str, int] = {}  # by class; open: unanswered, or with an attempt in flight
+    idempotency_windows_ms: Mapping[str, float] = {}  # by keyed class: ms until its open keys expire
     available_memory_mb: float = 64.0
-    policy_text: str = ""  # of the policy in use
+    policy_text: str = ""  # of the policy in force; empty: none
 
 
 def find_objection(text: str, state: RunningState) -> str:
-    """Returns why the policy cannot be applied, in one line; empty: it can."""
+    """Returns why the policy cannot be applied here, in one line; empty: it can."""
     try:
         return next(_objections(text, state), "")
     except (ValueError, TypeError, RecursionError) as error:
-        return _single_line(f"cannot be read: {error}")
+        return _single_line(f"the policy cannot be read: {error}")
 
 
 def remove_per_scheduler_settings(text: str) -> str:
-    """Returns the policy part of a settings object, as JSON. Raises ValueError."""
+    """Returns the policy in a settings object: its JSON without the settings of each scheduler.
+
+    Raises ValueError if the text is not JSON.
+    """
     raw = msgspec.json.decode(text)
     return msgspec.json.encode(
         {name: each for name, each in raw.items() if name not in PER_SCHEDULER_SETTINGS}
@@ -54,7 +59,10 @@
 
 
 def parse_policy(text: str, own_settings: api.Settings) -> api.Settings:
-    """Returns the settings of a scheduler with this position and zone under a policy. Raises ValueError."""
+    """Returns the settings under a policy, with the position and zone of own_settings.
+
+    Raises ValueError if the policy is invalid.
+    """
     options = msgspec.json.decode(text, type=PlatformSettings)
     options.node_index, options.zone = own_settings.node, own_settings.zone
     return scheduler_settings(options)
@@ -62,45 +70,45 @@
 
 def _objections(text: str, state: RunningState) -> Iterator[str]:
     if len(text.encode()) > MAX_POLICY_BYTES:
-        yield f"{len(text.encode())} bytes, {MAX_POLICY_BYTES} at most"
+        yield f"{len(text.encode())} bytes of policy, {MAX_POLICY_BYTES} are allowed"
         return
     raw, current_settings = msgspec.json.decode(text), state.settings
     if not isinstance(raw, dict):
-        yield "is no object"
+        yield "the policy is not a JSON object"
         return
     for name in PER_SCHEDULER_SETTINGS:
         if name in raw:
-            yield f"{name}: is a member's own, and no policy's"
+            yield f"{name}: is set for each scheduler, and cannot be part of a policy"
     for path in _unknown_fields(raw, msgspec.inspect.type_info(PlatformSettings), ""):
         yield f"{path}: this program does not know it"
     if len(raw.get("classes") or ()) > MAX_CLASSES:
-        yield f"classes: {len(raw['classes'])}, {MAX_CLASSES} at most"
+        yield f"classes: {len(raw['classes'])}, but only {MAX_CLASSES} are allowed"
     if len(raw.get("orgs") or ()) > MAX_TENANTS:
-        yield f"orgs: {len(raw['orgs'])}, {MAX_TENANTS} at most"
+        yield f"orgs: {len(raw['orgs'])}, but only {MAX_TENANTS} are allowed"
     new_settings = parse_policy(text, current_settings)
     for name in RESTART_SETTINGS:
         if getattr(new_settings, name) != getattr(current_settings, name):
             setting = SETTING_NAMES.get(name, name)
-            yield f"{setting}: takes a restart of every scheduler, not a change while serving"
+            yield f"{setting}: can only be changed by a restart of every scheduler"
     for name in CONNECTION_SETTINGS if state.policy_text else ():
         current_value = (msgspec.json.decode(state.policy_text).get("permissions") or {}).get(name)
         if (raw.get("permissions") or {}).get(name) != current_value:
-            yield f"permissions.{name}: takes a restart of every scheduler, not a change while serving"
+            yield f"permissions.{name}: can only be changed by a restart of every scheduler"
     for tenant in new_settings.tenants:
         if not tenant.rate > 0:
-            yield f"orgs.{tenant.name}: a share of {tenant.rate:g} would turn away all of its work"
+            yield f"orgs.{tenant.name}: a quota of {tenant.rate:g} would reject all of its requests"
     needs_mb = (
         len(new_settings.tenants)
         * (TENANT_MEMORY_KB + TENANT_CLASS_MEMORY_KB * len(new_settings.classes))
         / 1024.0
     )
     if needs_mb > state.available_memory_mb:
-        yield f"needs {needs_mb:.0f} MB, {state.available_memory_mb:.0f} are spare"
-    yield from _broken_promises(new_settings, state)
+        yield f"orgs: need {needs_mb:.0f} MB of memory, only {state.available_memory_mb:.0f} are available"
+    yield from _open_request_objections(new_settings, state)
 
 
-def _broken_promises(new_settings: api.Settings, state: RunningState) -> Iterator[str]:
-    """Yields objections from requests and idempotency windows that are open here."""
+def _open_request_objections(new_settings: api.Settings, state: RunningState) -> Iterator[str]:
+    """Yields objections from open requests and idempotency keys at this scheduler."""
     classes = {each.name: each for each in new_settings.classes}
     for old_class in state.settings.classes:
         count, remaining_window_ms = (
@@ -110,10 +118,10 @@
         new_class = classes.get(old_class.name)
         if new_class is None:
             if count:
-                yield f"classes.{old_class.name}: goes, while {_request_count(count)} of it are open"
+                yield f"classes.{old_class.name}: cannot be removed with {_request_count(count)} open"
             if remaining_window_ms > 0:
                 yield (
-                    f"classes.{old_class.name}: goes, while keys of it may come again "
+                    f"classes.{old_class.name}: cannot be removed, as its idempotency keys may be used again "
                     f"for {remaining_window_ms / 1000:.1f} s"
                 )
             continue
@@ -125,9 +133,8 @@
         for attribute, old_value, new_value in compared:
             if old_value != new_value and count:
                 yield (
-                    f"classes.{old_class.name}: its {attribute} turns from {old_value} to {new_value}, "
-                    f"while {_request_count(count)} "
-                    "of it are open"
+                    f"classes.{old_class.name}: its {attribute} cannot change from {old_value} "
+                    f"to {new_value} with {_request_count(count)} open"
                 )
         window_is_preserved = (
             new_class.effect == "keyed"
@@ -136,18 +143,18 @@
         )
         if old_class.effect == "keyed" and remaining_window_ms > 0 and not window_is_preserved:
             yield (
-                f"classes.{old_class.name}: keys of it may come again "
-                f"for {remaining_window_ms / 1000:.1f} s, which its "
-                "window or its effect would no longer see"
+                f"classes.{old_class.name}: its idempotency keys may be used again "
+                f"for {remaining_window_ms / 1000:.1f} s, which "
+                "the new group, window or effect would not recognize"
             )
 
 
 def _request_count(count: int) -> str:
-    return "1 job" if count == 1 else f"{count} jobs"
+    return "1 request" if count == 1 else f"{count} requests"
 
 
 def _unknown_fields(value: Any, known_type: msgspec.inspect.Type, path: str) -> Iterator[str]:
-    """Yields the paths of the text that are no fields of the settings."""
+    """Yields the paths in a decoded JSON value that are not fields of the type."""
     if isinstance(known_type, msgspec.inspect.UnionType):
         for each in known_type.types:
             if isinstance(each, msgspec.inspect.StructType | msgspec.inspect.ListType):
@@ -170,7 +177,10 @@
 
 
 def describe_differences(old: str, new: str) -> list[str]:
-    """Returns what changes from one policy to another, a line each, for an operator. Raises ValueError."""
+    """Returns the differences between two policies for an operator, one line each.
+
+    Raises ValueError if a text is not JSON.
+    """
     before, after = (dict(_flatten(msgspec.json.decode(text), "")) for text in (old, new))
     found = []
     for path in sorted({*before, *after}):
@@ -184,7 +194,7 @@
 
 
 def _flatten(value: Any, path: str) -> Iterator[tuple[str, Any]]:
-    """Yields every leaf with its path; items of a list by their name, where they have one."""
+    """Yields every leaf with its path. Objects in a list are indexed by their name, if they have one."""
     if isinstance(value, dict) and value:
         for name, each in value.items():
             yield from _flatten(each, f"{path}.{name}" if path else name)
