--- a/spanwing/policy/service.py
+++ b/spanwing/policy/service.py
@@ -1,9 +1,10 @@
-"""The fleet's policy in the daemon: the participant, the policy cache and, at a member, the coordinator.
+"""The fleet's policy in the scheduler process.
 
-A request is accepted only under the version in force and with a valid permit, both checked in the turn of the
-loop that accepts it. While a change is closing, at most MAX_QUEUED_REQUESTS requests are queued, each for at
-most MAX_ADMISSION_WAIT_MS. A version is applied here in one turn of the loop. A cache folder that fails is
-logged and stops nothing: only a start without the store needs it.
+It connects the participant, the policy cache and, at a member of the store, the coordinator to the request
+manager. A request is accepted only under the version in force and with a valid permit; both are checked in
+the event loop iteration that accepts it. While a change is closing, at most MAX_QUEUED_REQUESTS requests are
+queued, each for at most MAX_ADMISSION_WAIT_MS. A new version is applied within one event loop iteration. A
+failing policy cache is logged and has no other effect, as only a start without the store needs the cache.
 """
 
 from __future__ import annotations
@@ -43,12 +44,12 @@
 
 MAX_QUEUED_REQUESTS = 10_000
 TIMER_INTERVAL_S = 0.02
-CACHE_RENEWAL_FRACTION = 0.25  # of a permit's duration: the interval between writes of the cache
-MAX_RETIRING_VERSIONS = 4  # earlier versions under which requests may still be open
+CACHE_RENEWAL_FRACTION = 0.25  # interval between writes of the cache, as a fraction of a permit's duration
+MAX_RETIRING_VERSIONS = 4  # earlier versions that may still have open requests
 
 
 class PolicySettings(Protocol):
-    """The operator's table for the policy, checked."""
+    """The checked policy table of the operator's file; away_ms is the duration of a permit."""
 
     directory: str
     away_ms: float
@@ -57,7 +58,7 @@
 
 
 class PolicyService:
-    """One scheduler's part in the fleet's policy."""
+    """Applies the fleet's policy at one scheduler, and admits requests under it."""
 
     def __init__(
         self,
@@ -67,7 +68,7 @@
         buffers: BufferPool,
         seed: int,
     ) -> None:
-        """Takes, of own_settings, this scheduler's position and zone. Raises PolicyCacheError."""
+        """Uses only the position and zone of own_settings. Raises PolicyCacheError."""
         self.name, self.policy_settings, self.own_settings, self.seed = (
             name,
             policy_settings,
@@ -89,22 +90,24 @@
             self.follower.session, self._find_objection, self.follower.permit
         )
         self.follower.policy_vote = lambda: msgspec.Raw(msgspec.json.encode(self.participant.vote))
-        self.on_probe_request: Callable[[tuple[str, ...]], None] = lambda zones: None  # set by the zones
+        # The zone service sets the next two.
+        self.on_probe_request: Callable[[tuple[str, ...]], None] = lambda zones: None
         self.on_document_change: Callable[[Document], None] = lambda document: None
         # Called with the settings of each policy that is applied here.
         self.on_policy_change: list[Callable[[api.Settings], None]] = []
         self.request_manager: RequestManager | None = None
-        self.active_version = PolicyVersion()  # under which the scheduler runs
+        self.active_version = PolicyVersion()  # the version that the scheduler runs under
+        # Each with the time (ms) at which its wait ends.
         self.queued_requests: deque[tuple[float, RequestSubmitted]] = deque()
-        self.resubmitted_requests: list[RequestSubmitted] = []  # posted again, until admit() sees them
-        self.abandoned_requests: list[RequestSubmitted] = []  # of these, those whose client has disconnected
+        self.resubmitted_requests: list[RequestSubmitted] = []  # posted again, but not in admit() yet
+        self.abandoned_requests: list[RequestSubmitted] = []  # resubmitted, but the client has disconnected
         self.first_version: Future[PolicyVersion] = Future()
         self.cache_written_at_ms, self.is_writing_cache = -1e9, False
         self.document_service: DocumentService | None = None
         for each in self.cache.skipped_files:
             log_event("policy_skipped", level="warning", rate_limited=False, file=each)
         cached_permit = self.cache.load_permit()
-        if cached_permit is not None:  # the earlier incarnation's, until the store is reached
+        if cached_permit is not None:  # of the previous incarnation; superseded once the store answers
             self.follower.permit.expires_at_ms = cached_permit[1]
             self.participant.update_policy(
                 clock_ms(), msgspec.structs.replace(self.participant.policy, now=cached_permit[0])
@@ -113,9 +116,9 @@
     def serve_as_member(
         self, store: Store, listener: PeerListener, initial_policy: str
     ) -> CombinedController:
-        """Sets up this member's leader part: the document service and the coordinator.
+        """Creates the document service and the coordinator of this member of the store.
 
-        initial_policy is the text that a fleet without a policy starts with.
+        initial_policy is the text of the first policy, for a fleet that has none.
         """
         coordinator = PolicyCoordinator(
             PermitSettings(self.policy_settings.away_ms), lambda: time.time() * 1000.0, _random_id
@@ -129,20 +132,20 @@
         return combined_controller
 
     def start(self) -> None:
-        """Starts the background tasks: the follower, the timer and, at a member, the document service."""
+        """Starts the background tasks: the follower, the timer and any document service."""
         if self.document_service is not None:
             spawn_task(self.document_service.run())
         spawn_task(self.follower.run())
         spawn_task(self._run_timer())
 
     async def wait_for_policy(self) -> str:
-        """Returns the text of the version in force, once requests may be accepted under it."""
+        """Waits until requests may be accepted; returns the text of the version in force."""
         self._resolve_first_version()
         self.active_version = await self.first_version
         return self.active_version.text
 
     def attach_request_manager(self, request_manager: RequestManager) -> None:
-        """Connects the request manager, which then asks admit(), and applies the current version."""
+        """Has the request manager call admit() for each request, and applies the version in force to it."""
         self.request_manager = request_manager
         request_manager.policy_admission = self
         self._apply_current_version()
@@ -150,9 +153,9 @@
     # -- requests
 
     def admit(self, submitted: RequestSubmitted) -> bool:
-        """Returns whether the request may be accepted now; if not, it is queued here or rejected."""
+        """Returns whether the request may be accepted now; otherwise queues or rejects it here."""
         if any(submitted is each for each in self.abandoned_requests):
-            # In the mailbox, the client's disconnect was ahead of the resubmitted request.
+            # The notice of the client's disconnect was ahead of the request in the mailbox.
             self.abandoned_requests = [each for each in self.abandoned_requests if each is not submitted]
             return False
         self.resubmitted_requests = [each for each in self.resubmitted_requests if each is not submitted]
@@ -160,7 +163,7 @@
         if decision.action == "take" and decision.version == self.active_version.number:
             if submitted.request.cls in self.request_manager.scheduler.index:
                 return True
-            self._reject(submitted)  # its class was removed while it waited
+            self._reject(submitted)  # its class was removed while it was queued
             return False
         if decision.action != "refuse" and len(self.queued_requests) < MAX_QUEUED_REQUESTS:
             self.request_manager.counters["policy.held"] += 1
@@ -170,10 +173,10 @@
         return False
 
     def client_disconnected(self, request_id: str, client: ClientConnection) -> None:
-        """Drops the request of a client that has disconnected."""
+        """Drops a queued or resubmitted request whose client has disconnected."""
 
-        def is_of_client(take: RequestSubmitted) -> bool:
-            return take.request.id == request_id and take.client is client
+        def is_of_client(submitted: RequestSubmitted) -> bool:
+            return submitted.request.id == request_id and submitted.client is client
 
         self.queued_requests = deque(each for each in self.queued_requests if not is_of_client(each[1]))
         self.abandoned_requests += [each for each in self.resubmitted_requests if is_of_client(each)]
@@ -187,12 +190,12 @@
         )
 
     def _release_queued(self) -> None:
-        """Posts queued requests again, in their order, once they may be accepted; rejects the overdue."""
+        """Resubmits the queued requests in order once requests may be accepted; rejects overdue ones."""
         now = clock_ms()
         action = self.participant.decide_admission(now).action
         while self.queued_requests and (action == "take" or now >= self.queued_requests[0][0]):
             wait_ends_at, submitted = self.queued_requests.popleft()
-            if action == "take":  # the wait counts against the client's budget
+            if action == "take":  # the time in the queue is deducted from the client's budget
                 remaining_ms = max(
                     1.0, submitted.request.budget - (now - wait_ends_at + MAX_ADMISSION_WAIT_MS)
                 )
@@ -205,9 +208,9 @@
     # -- changes of the document
 
     def _handle_document_change(self, document: Document) -> None:
-        """Applies a new copy of the document; it is acknowledged once this returns."""
+        """Applies a new copy of the document; the follower acknowledges it after this returns."""
         previous, policy = self.participant.policy, read_policy(document)
-        if policy.now.number >= previous.now.number:  # an empty document does not undo the cached version
+        if policy.now.number >= previous.now.number:  # an empty document does not replace a cached version
             self.participant.update_policy(clock_ms(), policy)
         self._log_change_steps(previous, policy)
         self._resolve_first_version()
@@ -215,7 +218,7 @@
         self.on_document_change(document)
 
     def _log_change_steps(self, previous: Any, policy: Any) -> None:
-        """Logs one event for each step of a change."""
+        """Logs an event if a change has begun, has changed its state or has ended."""
         change, previous_change = policy.change, previous.change
         if change is not None and (
             previous_change is None
@@ -245,10 +248,10 @@
                 )
 
     def _has_asked_store(self) -> bool:
-        """Returns whether the store has answered, or each member has been tried without success.
+        """Returns whether the store has answered, or every member has been tried without success.
 
-        Until then a permit of the policy cache is not used: the earlier incarnation may have been declared
-        gone, and the fleet may have changed its policy since.
+        Until then a permit from the policy cache is not used: an operator may have declared the previous
+        incarnation gone, and the fleet may have changed its policy since.
         """
         follower = self.follower
         return follower.document.revision > 0 or follower.failed_attempts >= len(follower.members)
@@ -260,7 +263,7 @@
             self.first_version.set_result(self.participant.policy.now)
 
     def _apply_current_version(self) -> None:
-        """Replaces the scheduler by one for the version in force."""
+        """Replaces the request manager's scheduler by one for the version in force, if that is newer."""
         current = self.participant.policy.now
         request_manager = self.request_manager
         if request_manager is None or current.number == 0 or self.active_version.number >= current.number:
@@ -268,14 +271,16 @@
         started_at_s = time.perf_counter()
         try:
             settings = parse_policy(current.text, self.own_settings)
-        except ValueError as error:  # accepted without this scheduler's vote: it rejects until corrected
+        except (
+            ValueError
+        ) as error:  # in force without this scheduler's vote; it rejects requests until a newer version
             log_event("policy_unfit", level="error", version=current.number, reason=str(error))
             return
-        previous_scheduler, module_now = request_manager.scheduler, request_manager.clock.now_ms()
-        new_scheduler = create_scheduler(settings, self.seed + current.number, module_now, previous_scheduler)
+        previous_scheduler, now_ms = request_manager.scheduler, request_manager.clock.now_ms()
+        new_scheduler = create_scheduler(settings, self.seed + current.number, now_ms, previous_scheduler)
         request_manager.switch_policy(settings, new_scheduler)
         request_manager.notify_schedulers(known_workers(previous_scheduler))
-        transfer_worker_estimates(new_scheduler, previous_scheduler, module_now)
+        transfer_worker_estimates(new_scheduler, previous_scheduler, now_ms)
         self.active_version = current
         for callback in self.on_policy_change:
             callback(settings)
@@ -290,30 +295,30 @@
         self._start_cache_write(clock_ms())
 
     def _find_objection(self, text: str) -> str:
-        """Returns why the policy cannot be applied here now; empty: it can."""
+        """Returns why a policy with this text cannot be applied here now; empty: it can."""
         if self.request_manager is None:
             return find_objection(text, RunningState(self.own_settings))
         if len(self.request_manager.retiring_schedulers) >= MAX_RETIRING_VERSIONS:
-            return f"jobs are open under {MAX_RETIRING_VERSIONS} earlier versions"
-        open_jobs = Counter(call.request.cls for call in self.request_manager.pending_requests.values())
+            return f"requests are open under {MAX_RETIRING_VERSIONS} earlier versions"
+        open_requests = Counter(call.request.cls for call in self.request_manager.pending_requests.values())
         for request, _ in self.request_manager.in_flight:
             job = self.request_manager._scheduler_of(request).jobs.get(request)
             if job is not None and request not in self.request_manager.pending_requests:
-                open_jobs[job.cls.name] += 1
+                open_requests[job.cls.name] += 1
         return find_objection(
             text,
             RunningState(
                 self.request_manager.settings,
-                open_jobs,
+                open_requests,
                 self._idempotency_windows_ms(),
                 policy_text=self.active_version.text,
             ),
         )
 
     def _idempotency_windows_ms(self) -> dict[str, float]:
-        """Returns, by keyed class, how long (ms) a key that is open now may be used again.
+        """Returns, by keyed class, for how long (ms) an idempotency key may be used again.
 
-        It is the class's window while requests of the class are open.
+        That is the window of the class while requests of the class are open.
         """
         return {
             each.name: each.window
@@ -323,7 +328,7 @@
         }
 
     async def _run_timer(self) -> None:
-        """Handles what changes with time alone: a permit is granted or expires, a wait ends."""
+        """Logs changes of the permit, ends queue waits and renews the cache, every TIMER_INTERVAL_S."""
         logged_permit = None
         while True:
             await sleep(TIMER_INTERVAL_S)
@@ -344,7 +349,7 @@
                 self._start_cache_write(now)
 
     def _start_cache_write(self, now: float) -> None:
-        """Starts a write of the cache outside the event loop, so that no request waits for a disk."""
+        """Writes the cache in a thread, so that no request waits for the disk."""
         if self.active_version.number and not self.is_writing_cache:
             self.is_writing_cache, self.cache_written_at_ms = True, now
             IOLoop.current().run_in_executor(
@@ -374,9 +379,9 @@
         timeout_s: float = 60.0,
         removed_names: list[str] = (),
     ) -> str:
-        """Sends an operator's order to the leader and returns its answer.
+        """Sends an operator's order to the leader and returns the text of the reply.
 
-        timeout_s bounds the change as a whole. Raises ValueError with the reason if the order is rejected.
+        timeout_s limits the change as a whole. Raises ValueError with the reason if the order is rejected.
         """
         order = PolicyOrder(
             action, text, base_version, f"{author} at {self.name}", reason, timeout_s, list(removed_names)
@@ -387,7 +392,7 @@
         return result.text
 
     def status(self) -> dict[str, Any]:
-        """Returns the state of the policy here, for the operator's status page."""
+        """Returns the state of the policy at this scheduler, for the status commands."""
         policy, now = self.participant.policy, clock_ms()
         change = policy.change
         return {
@@ -418,24 +423,24 @@
         }
 
     def history(self) -> list[dict[str, Any]]:
-        """Returns how the last changes ended, oldest first."""
+        """Returns the outcomes of the last changes, oldest first."""
         return [msgspec.structs.asdict(each) for each in self.participant.policy.history]
 
     def check(self, text: str) -> str:
-        """Returns why a policy's text cannot be applied here; empty: it can."""
+        """Returns why a policy with this text cannot be applied here now; empty: it can."""
         return self._find_objection(text)
 
     def text(self, version_number: int) -> str:
-        """Returns the text of a version; 0 means the version in force here.
+        """Returns the text of a version; 0 stands for the version that the scheduler runs under.
 
-        Raises ValueError if the version is not cached.
+        Raises ValueError if the version is not in the policy cache.
         """
         version_number = version_number or self.active_version.number
         version = self.cache.versions.get(version_number)
         if version_number == self.active_version.number:
             version = self.active_version
         if version is None:
-            raise ValueError(f"version {version_number} is not kept here")
+            raise ValueError(f"version {version_number} is not in this scheduler's policy cache")
         return version.text
 
 
