--- a/tests/test_document.py
+++ b/tests/test_document.py
@@ -1,4 +1,4 @@
-"""The fleet's document: transactions, watches without a gap, bounds; reads without a write; leases."""
+"""The fleet's document, reads without a write, the register log and leases."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 KEYS = st.sampled_from(["a", "b", "c"])
 
 
-class Documents(unittest.TestCase):
+class DocumentTests(unittest.TestCase):
     @given(
         st.lists(st.dictionaries(KEYS, st.none() | st.text("xyz", max_size=4), min_size=1), max_size=90),
         st.lists(st.integers(0, 90), max_size=8),
     )
-    def test_a_watcher_that_looks_now_and_then_misses_no_change(self, writes, looks) -> None:
+    def test_a_watcher_that_reads_at_intervals_misses_no_change(self, writes, reads) -> None:
         document, watcher = Document(), Document()
         for number, each in enumerate(writes):
             document = document.apply(Transaction(f"t{number}", each))
-            if number in looks:
+            if number in reads:
                 changes = document.changes_after(watcher.revision)
                 watcher = document if changes is None else watcher.apply_changes(changes)
                 self.assertEqual((watcher.revision, watcher.entries), (document.revision, document.entries))
@@ -44,7 +44,7 @@
         self.assertLessEqual(len(document.history), MAX_HISTORY_CHANGES)
         self.assertEqual(decode_document(encode_document(document)), document)
 
-    def test_several_keys_change_at_once_or_not_at_all(self) -> None:
+    def test_a_transaction_changes_all_its_keys_or_none(self) -> None:
         document = Document().apply(Transaction("1", {"a": "x", "b": "x"}))
         after = document.apply(
             Transaction("2", {"a": "y", "c": "y"}, document.current_revisions("a", "b", "c"))
@@ -54,11 +54,11 @@
             after.apply(Transaction("3", {"b": "z", "a": "z"}, document.current_revisions("a")))
         )
 
-    def test_a_transaction_asked_for_again_takes_hold_once(self) -> None:
+    def test_a_repeated_transaction_is_applied_once(self) -> None:
         document = Document().apply(Transaction("1", {"a": "x"})).apply(Transaction("2", {"a": "y"}))
         self.assertIs(document.apply(Transaction("1", {"a": "x"}, {"a": 0})), document)
 
-    def test_bounds_are_told_and_change_nothing(self) -> None:
+    def test_a_transaction_beyond_a_bound_is_rejected(self) -> None:
         for writes in (
             {"k" * 129: "x"},
             {"k": "x" * 24577},
@@ -68,64 +68,64 @@
             with self.assertRaises(ValueError):
                 Document().apply(Transaction("1", writes))
 
-    def test_a_revision_that_is_none_of_ours_gets_the_whole(self) -> None:
+    def test_no_changes_are_returned_after_an_unknown_revision(self) -> None:
         document = Document().apply(Transaction("1", {"a": "x"}))
         self.assertIsNone(document.changes_after(7))
         with self.assertRaises(ValueError):
             Document().apply_changes(document.apply(Transaction("2", {})).changes_after(1))
 
 
-class Reads(unittest.TestCase):
-    """look() against every way in which a write may have stopped half done."""
+class ReadTests(unittest.TestCase):
+    """read_register() after a write that was interrupted at any point."""
 
-    def test_what_a_majority_names_is_read_without_a_write(self) -> None:
-        for accepted in range(8):  # by which of three members the later write was accepted
+    def test_a_value_that_a_majority_reports_is_read_without_a_write(self) -> None:
+        for accepted in range(8):  # bit mask of the members that accepted the second write
             acceptors = [Acceptor(None) for _ in range(3)]
             for each in acceptors:
                 each.handle_message(Prepare(1, "k", (1, "a")))
                 each.handle_message(Accept(1, "k", (1, "a"), "old"))
-            for place, each in enumerate(acceptors):
-                if accepted >> place & 1:
+            for index, each in enumerate(acceptors):
+                if accepted >> index & 1:
                     each.handle_message(Prepare(2, "k", (2, "b")))
                     each.handle_message(Accept(2, "k", (2, "b"), "new"))
-            for cut in (None, 1, 2):
-                with self.subTest(accepted=accepted, cut=cut):
-                    asyncio.run(self.look(acceptors, accepted, cut))
+            for unreachable in (None, 1, 2):
+                with self.subTest(accepted=accepted, unreachable=unreachable):
+                    asyncio.run(self.check_reads(acceptors, accepted, unreachable))
 
-    async def look(self, acceptors, accepted: int, cut: int | None) -> None:
+    async def check_reads(self, acceptors, accepted: int, unreachable: int | None) -> None:
         copies = [Acceptor(None) for _ in acceptors]
         for copy, each in zip(copies, acceptors, strict=True):
             copy.registers.update(each.registers)
-        peers = [Link(copies[place], place != cut) for place in (1, 2)]
+        peers = [LocalPeer(copies[index], index != unreachable) for index in (1, 2)]
         store = Store("a", copies[0], peers, 1, 50.0)
-        seen = await store.read_register("k")
-        if accepted.bit_count() >= 2:  # chosen: nobody may read anything else
-            self.assertEqual(seen, "new")
+        value = await store.read_register("k")
+        if accepted.bit_count() >= 2:  # the value is chosen: no read may return another one
+            self.assertEqual(value, "new")
         if accepted == 0:
-            self.assertEqual(seen, "old")
+            self.assertEqual(value, "old")
             self.assertEqual(
-                [each.registers["k"].promised_ballot for each in copies], [(1, "a")] * 3, "it wrote"
+                [each.registers["k"].promised_ballot for each in copies], [(1, "a")] * 3, "the read wrote"
             )
-        # A write that stopped half done may take hold between two reads, but what was read of it stays.
-        again = await Store("a", copies[0], peers, 2, 50.0).read_register("k")
-        self.assertIn(again, ("new",) if seen == "new" else ("old", "new"))
+        # An interrupted write may complete between two reads, but a value that was read is never lost.
+        next_value = await Store("a", copies[0], peers, 2, 50.0).read_register("k")
+        self.assertIn(next_value, ("new",) if value == "new" else ("old", "new"))
 
 
-class Link:
-    """A peer in the same process, up or cut off."""
+class LocalPeer:
+    """A peer in the same process; an unreachable one never replies."""
 
-    def __init__(self, acceptor: Acceptor, up: bool) -> None:
-        self.acceptor, self.up = acceptor, up
+    def __init__(self, acceptor: Acceptor, is_reachable: bool) -> None:
+        self.acceptor, self.is_reachable = acceptor, is_reachable
 
     def send_request(self, message):
         reply = asyncio.get_running_loop().create_future()
-        if self.up:
+        if self.is_reachable:
             reply.set_result(self.acceptor.handle_message(message))
         return reply
 
 
-class Disks(unittest.TestCase):
-    def test_a_log_that_is_overwritten_again_and_again_stays_small(self) -> None:
+class RegisterLogTests(unittest.TestCase):
+    def test_a_log_of_overwritten_states_is_compacted(self) -> None:
         with tempfile.TemporaryDirectory() as folder, mock.patch.object(disk, "MIN_COMPACTION_BYTES", 20_000):
             log = disk.RegisterLog(folder)
             acceptor = Acceptor(log)
@@ -135,15 +135,15 @@
             self.assertLess(log.path.stat().st_size, 25_000)
             log.log_file.close()
             log.lock_file.close()
-            again = disk.RegisterLog(folder)
-            self.assertEqual(again.registers, acceptor.registers)
-            again.log_file.close()
-            again.lock_file.close()
+            reopened = disk.RegisterLog(folder)
+            self.assertEqual(reopened.registers, acceptor.registers)
+            reopened.log_file.close()
+            reopened.lock_file.close()
 
-    def test_a_disk_that_is_full_when_the_log_is_written_anew_loses_nothing(self) -> None:
+    def test_a_compaction_that_fails_on_a_full_disk_loses_nothing(self) -> None:
         with tempfile.TemporaryDirectory() as folder, mock.patch.object(disk, "MIN_COMPACTION_BYTES", 100):
             log = disk.RegisterLog(folder)
-            with mock.patch.object(log, "_compact", side_effect=OSError(28, "full")):
+            with mock.patch.object(log, "_compact", side_effect=OSError(28, "No space left on device")):
                 for number in range(1, 9):
                     log.save(Register("k", (number, "a"), (number, "a"), "x" * 200))
             self.assertEqual(log._load()["k"].promised_ballot, (8, "a"))
@@ -151,27 +151,27 @@
             log.lock_file.close()
 
 
-class Leases(unittest.TestCase):
-    def test_a_holder_never_acts_once_the_granter_takes_it_for_lapsed(self) -> None:
+class LeaseTests(unittest.TestCase):
+    def test_a_lease_is_invalid_once_the_grantor_regards_it_as_expired(self) -> None:
         random.seed(1)
         for _ in range(2000):
-            rate = random.uniform(0.96, 1.04)  # of the granter's clock against the holder's
-            lease, asked, length = Lease(), random.uniform(0, 1e6), random.uniform(1, 5000)
-            lease.record_renewal(3, asked)
-            confirmed = asked + random.expovariate(0.01)  # after it had come, by the true clock
-            lease.extend(3, length)
-            lapsed = confirmed * rate + length * 1.1
-            self.assertEqual(lapsed, lease_expiry_ms(confirmed * rate, length))
-            self.assertFalse(lease.is_valid(lapsed / rate))
-
-    def test_a_grant_counts_from_before_its_own_renewal(self) -> None:
+            rate = random.uniform(0.96, 1.04)  # of the grantor's clock relative to the holder's
+            lease, sent_at_ms, lease_ms = Lease(), random.uniform(0, 1e6), random.uniform(1, 5000)
+            lease.record_renewal(3, sent_at_ms)
+            confirmed_at_ms = sent_at_ms + random.expovariate(0.01)  # by the holder's clock
+            lease.extend(3, lease_ms)
+            expired_at_ms = confirmed_at_ms * rate + lease_ms * 1.1  # by the grantor's clock
+            self.assertEqual(expired_at_ms, lease_expiry_ms(confirmed_at_ms * rate, lease_ms))
+            self.assertFalse(lease.is_valid(expired_at_ms / rate))
+
+    def test_a_lease_runs_from_when_its_own_renewal_was_sent(self) -> None:
         lease = Lease()
         lease.record_renewal(1, 100.0)
         lease.record_renewal(2, 900.0)
         lease.extend(1, 500.0)
         self.assertTrue(lease.is_valid(599.0))
         self.assertFalse(lease.is_valid(600.0))
-        lease.extend(1, 5000.0)  # told again, late: it gives nothing
+        lease.extend(1, 5000.0)  # a repeated grant has no effect
         lease.extend(7, 5000.0)
         self.assertFalse(lease.is_valid(600.0))
 
