--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -1,4 +1,4 @@
-"""A change of policy over a fleet of real processes, with faults between them, under load."""
+"""Changes of the policy in a fleet of real processes, under load and with faults."""
 
 from __future__ import annotations
 
@@ -22,133 +22,138 @@
 from spanwing.store.lease import clock_ms
 
 
-class Policies(unittest.TestCase):
-    """Starts a fleet with a policy, and looks at its rules in the end."""
+class PolicyFleetTestCase(unittest.TestCase):
+    """Starts a fleet with a policy, and checks the fleet's rules at the end."""
 
-    def begin(self, **how) -> Ground:
-        ground = Ground(policy=True, **how)
+    def start_fleet(self, **options) -> Ground:
+        ground = Ground(policy=True, **options)
         self.addCleanup(ground.close)
         ground.until(ground.contact)
-        ground.until(lambda: len(self.of(ground, "s0")["schedulers"]) == len(ground.schedulers))
+        ground.until(lambda: len(self.policy_status(ground, "s0")["schedulers"]) == len(ground.schedulers))
         ground.load(True)
         ground.until(lambda: sum(each["ev"] == "taken" for each in ground.records()) > 20)
         return ground
 
-    def of(self, ground: Ground, name: str) -> dict[str, Any]:
+    def policy_status(self, ground: Ground, name: str) -> dict[str, Any]:
         return ground.ask(name, do="policy")
 
     def versions(self, ground: Ground, names: list[str] | None = None) -> set[int]:
-        return {self.of(ground, name)["version"] for name in names or ground.reached()}
+        return {self.policy_status(ground, name)["version"] for name in names or ground.reached()}
 
-    def run_command(self, ground: Ground, *words: str, at: str = "s4") -> tuple[int, str]:
-        words = ("-m", "spanwing", "policy", "--socket", f"{ground.path}/{at}.sock", *words)
-        done = subprocess.run([sys.executable, *words], cwd=ROOT, capture_output=True, text=True, timeout=60)
-        return done.returncode, done.stdout + done.stderr
+    def run_command(self, ground: Ground, *arguments: str, at: str = "s4") -> tuple[int, str]:
+        """Runs `spanwing policy` at one scheduler; returns its exit status and output."""
+        arguments = ("-m", "spanwing", "policy", "--socket", f"{ground.path}/{at}.sock", *arguments)
+        process = subprocess.run(
+            [sys.executable, *arguments], cwd=ROOT, capture_output=True, text=True, timeout=60
+        )
+        return process.returncode, process.stdout + process.stderr
 
-    def file(self, ground: Ground, at: str = "s4", **changes: Any) -> str:
-        """The policy in force with changes of its first class, in a file."""
+    def write_policy_file(self, ground: Ground, at: str = "s4", **changes: Any) -> str:
+        """Writes the policy in force, with changes of its first class, to a file; returns its path."""
         text = json.loads(ground.ask(at, do="policy_text")["text"])
         text["classes"][0].update(changes)
         path = ground.path / f"new-{time.monotonic_ns()}.json"
         path.write_text(json.dumps(text))
         return str(path)
 
-    def propose(self, ground: Ground, *words: str, at: str = "s4", **changes: Any) -> tuple[int, str]:
+    def propose(self, ground: Ground, *arguments: str, at: str = "s4", **changes: Any) -> tuple[int, str]:
         changes = changes or {"aim_ms": 310.0}
-        return self.run_command(ground, "propose", self.file(ground, at, **changes), *words, at=at)
+        return self.run_command(
+            ground, "propose", self.write_policy_file(ground, at, **changes), *arguments, at=at
+        )
 
-    def later(self, ground: Ground, *words: str, at: str = "s4") -> list[tuple[int, str]]:
-        """Propose beside what the test does; the list gets the end."""
-        ended: list[tuple[int, str]] = []
-        path = self.file(ground, at, aim_ms=320.0)
+    def propose_in_background(self, ground: Ground, *arguments: str, at: str = "s4") -> list[tuple[int, str]]:
+        """Proposes a change in a thread; returns a list to which the result is appended."""
+        results: list[tuple[int, str]] = []
+        path = self.write_policy_file(ground, at, aim_ms=320.0)
         thread = threading.Thread(
-            target=lambda: ended.append(self.run_command(ground, "propose", path, *words, at=at))
+            target=lambda: results.append(self.run_command(ground, "propose", path, *arguments, at=at))
         )
         thread.start()
         self.addCleanup(thread.join)
-        return ended
+        return results
 
-    def end(self, ground: Ground, gone: tuple[str, ...] = ()) -> None:
+    def check_fleet(self, ground: Ground, disturbed: tuple[str, ...] = ()) -> None:
         ground.settle()
-        self.assertEqual(ground.wrong(gone)[:5], [])
-        ends: dict[int, set[tuple[bool, str]]] = {}
-        for name in ground.reached():  # no two schedulers know of different ends
+        self.assertEqual(ground.wrong(disturbed)[:5], [])
+        outcomes: dict[int, set[tuple[bool, str]]] = {}
+        for name in ground.reached():  # all schedulers know the same outcome of each change
             for each in ground.ask(name, do="policy_history")["history"]:
-                ends.setdefault(each["wall_ms"], set()).add((each["taken"], each["digest"]))
-        self.assertTrue(all(len(each) == 1 for each in ends.values()), ends)
+                outcomes.setdefault(each["wall_ms"], set()).add((each["taken"], each["digest"]))
+        self.assertTrue(all(len(each) == 1 for each in outcomes.values()), outcomes)
 
 
 @pytest.mark.xdist_group("fleets-a")
-class Taken(Policies):
-    def test_everywhere_with_its_command_line(self) -> None:
-        ground = self.begin(seed=71)
-        code, said = self.propose(ground, "--reason", "shorter")
-        self.assertEqual((code, "version 2 is in force\n" in said), (0, True), said)
+class AcceptedChangeTests(PolicyFleetTestCase):
+    def test_changes_by_the_command_line_reach_every_scheduler(self) -> None:
+        ground = self.start_fleet(seed=71)
+        code, output = self.propose(ground, "--reason", "shorter")
+        self.assertEqual((code, "version 2 is in force\n" in output), (0, True), output)
         ground.until(lambda: self.versions(ground) == {2})
-        code, said = self.propose(ground, "--base", "1")
-        self.assertEqual((code, said.count("\n")), (1, 1), said)
-        self.assertIn("based on version 1, but version 2 by operator at s4", said)
-        code, said = self.run_command(ground, "status")
-        self.assertEqual((code, "version 2" in said), (0, True), said)
-        code, said = self.run_command(ground, "diff", self.file(ground, aim_ms=999.0))
-        self.assertIn("classes[status-read].aim_ms: 310.0 -> 999.0", said)
-        for changes, why in (({"aim_ms": -1.0}, "aim"), ({"of_a_newer_program": 1}, "does not know it")):
-            code, said = self.propose(ground, **changes)
-            self.assertEqual((code, said.count("\n"), why in said), (1, 1, True), said)
-        code, said = self.run_command(ground, "rollback", "1")
-        self.assertEqual((code, "version 3 is in force\n" in said), (0, True), said)
+        code, output = self.propose(ground, "--base", "1")
+        self.assertEqual((code, output.count("\n")), (1, 1), output)
+        self.assertIn("based on version 1, but version 2 by operator at s4", output)
+        code, output = self.run_command(ground, "status")
+        self.assertEqual((code, "version 2" in output), (0, True), output)
+        code, output = self.run_command(ground, "diff", self.write_policy_file(ground, aim_ms=999.0))
+        self.assertIn("classes[status-read].aim_ms: 310.0 -> 999.0", output)
+        for changes, reason in (({"aim_ms": -1.0}, "aim"), ({"of_a_newer_program": 1}, "does not know it")):
+            code, output = self.propose(ground, **changes)
+            self.assertEqual((code, output.count("\n"), reason in output), (1, 1, True), output)
+        code, output = self.run_command(ground, "rollback", "1")
+        self.assertEqual((code, "version 3 is in force\n" in output), (0, True), output)
         ground.until(lambda: self.versions(ground) == {3})
         self.assertEqual(json.loads(self.run_command(ground, "show")[1])["classes"][0]["aim_ms"], 300.0)
-        past = json.loads(self.run_command(ground, "history", "--json")[1])
-        self.assertEqual([(each["number"], each["taken"]) for each in past], [(2, True), (3, True)])
-        self.end(ground)
+        history = json.loads(self.run_command(ground, "history", "--json")[1])
+        self.assertEqual([(each["number"], each["taken"]) for each in history], [(2, True), (3, True)])
+        self.check_fleet(ground)
 
-    def test_two_at_once_and_one_given_up(self) -> None:
-        ground = self.begin(seed=72)
+    def test_a_second_proposal_is_rejected_until_the_first_is_aborted(self) -> None:
+        ground = self.start_fleet(seed=72)
         ground.stop("s3")
-        first = self.later(ground, "--wait", "30")
-        ground.until(lambda: self.of(ground, "s0")["change"] is not None)
-        code, said = self.propose(ground, at="s1", aim_ms=350.0)
-        self.assertEqual(code, 1, said)
-        self.assertIn("version 2 by operator at s4 is under way", said)
+        first_results = self.propose_in_background(ground, "--wait", "30")
+        ground.until(lambda: self.policy_status(ground, "s0")["change"] is not None)
+        code, output = self.propose(ground, at="s1", aim_ms=350.0)
+        self.assertEqual(code, 1, output)
+        self.assertIn("version 2 by operator at s4 is under way", output)
         self.assertEqual(self.run_command(ground, "abort", at="s1")[0], 0)
-        ground.until(lambda: bool(first))
-        self.assertEqual(first[0][0], 1)
-        self.assertIn("given up by operator at s1", first[0][1])
+        ground.until(lambda: bool(first_results))
+        self.assertEqual(first_results[0][0], 1)
+        self.assertIn("given up by operator at s1", first_results[0][1])
         ground.go_on("s3")
         ground.until(ground.contact)
         self.assertEqual(self.versions(ground), {1})
-        self.end(ground, ("s3",))
+        self.check_fleet(ground, ("s3",))
 
 
 @pytest.mark.xdist_group("fleets-b")
-class Away(Policies):
-    """Somebody is cut off, stopped or down while it is made."""
+class AbsentSchedulerTests(PolicyFleetTestCase):
+    """A scheduler is disconnected, stopped or down during a change."""
 
-    def test_one_that_is_cut_off_ends_it_as_nowhere_and_is_named(self) -> None:
-        ground = self.begin(seed=73)
+    def test_a_disconnected_scheduler_prevents_the_change_and_is_named(self) -> None:
+        ground = self.start_fleet(seed=73)
         links = ground.links(["s3"], ground.members)
         ground.set(links, there=False, back=False)
-        code, said = self.propose(ground, "--wait", "2")
-        self.assertEqual(code, 1, said)
-        self.assertIn("s3 is not in contact", said)
+        code, output = self.propose(ground, "--wait", "2")
+        self.assertEqual(code, 1, output)
+        self.assertIn("s3 is not in contact", output)
         self.assertEqual(self.versions(ground), {1})
         ground.set(links)
         ground.until(ground.contact)
-        code, said = self.propose(ground)
-        self.assertEqual(code, 0, said)
+        code, output = self.propose(ground)
+        self.assertEqual(code, 0, output)
         ground.until(lambda: self.versions(ground) == {2})
-        self.end(ground)
+        self.check_fleet(ground)
 
-    def test_one_that_is_stopped_takes_no_job_under_the_old_version(self) -> None:
-        ground = self.begin(seed=74)
+    def test_a_stopped_scheduler_accepts_no_request_under_the_old_version(self) -> None:
+        ground = self.start_fleet(seed=74)
         ground.stop("s3")
-        code, said = self.propose(ground, "--wait", "30")  # once its permit has lapsed
-        self.assertEqual(code, 0, said)
+        code, output = self.propose(ground, "--wait", "30")  # succeeds once the permit of s3 has expired
+        self.assertEqual(code, 0, output)
         others = ground.reached()
         ground.until(lambda: self.versions(ground, others) == {2})
-        served = len(ground.records())
-        ground.until(lambda: len(ground.records()) > served + 50)
+        record_count = len(ground.records())
+        ground.until(lambda: len(ground.records()) > record_count + 50)
         ground.go_on("s3")
         ground.until(lambda: self.versions(ground) == {2})
         ground.until(
@@ -157,14 +162,14 @@
                 for each in ground.records()
             )
         )
-        self.end(ground, ("s3",))
+        self.check_fleet(ground, ("s3",))
 
-    def test_one_that_was_down_learns_it_before_its_first_job(self) -> None:
-        ground = self.begin(seed=75)
+    def test_a_restarted_scheduler_has_the_last_version_before_its_first_request(self) -> None:
+        ground = self.start_fleet(seed=75)
         ground.kill("s3")
-        for aim in (310.0, 320.0, 330.0):
-            code, said = self.propose(ground, "--wait", "30", "--gone", "s3", aim_ms=aim)
-            self.assertEqual(code, 0, said)
+        for aim_ms in (310.0, 320.0, 330.0):
+            code, output = self.propose(ground, "--wait", "30", "--gone", "s3", aim_ms=aim_ms)
+            self.assertEqual(code, 0, output)
         ground.start("s3")
         ground.until(
             lambda: any(
@@ -172,54 +177,60 @@
                 for each in ground.records()
             )
         )
-        self.end(ground, ("s3",))
+        self.check_fleet(ground, ("s3",))
 
 
 @pytest.mark.xdist_group("fleets-c")
-class Broken(Policies):
-    """The keeper, the store, or all are lost at a step."""
-
-    def test_the_keeper_is_killed_while_it_is_asked_for(self) -> None:
-        ground = self.begin(seed=76)
-        ground.stop("s3")  # holds it in `asking`
-        ended = self.later(ground, "--wait", "30")
-        ground.until(lambda: self.of(ground, "s4")["change"] is not None)
-        keeper = self.of(ground, "s4")["by"]
-        ground.kill(keeper)
+class CrashTests(PolicyFleetTestCase):
+    """A member, a majority of the store or all processes fail during a change."""
+
+    def test_the_connected_member_is_killed_during_a_change(self) -> None:
+        ground = self.start_fleet(seed=76)
+        ground.stop("s3")  # keeps the change in the state `asking`
+        results = self.propose_in_background(ground, "--wait", "30")
+        ground.until(lambda: self.policy_status(ground, "s4")["change"] is not None)
+        connected_member = self.policy_status(ground, "s4")["by"]
+        ground.kill(connected_member)
         ground.go_on("s3")
-        ground.start(keeper)
-        ground.until(lambda: bool(ended), 45.0)
+        ground.start(connected_member)
+        ground.until(lambda: bool(results), 45.0)
         ground.until(lambda: not ground.starting and ground.contact())
         ground.until(lambda: len(self.versions(ground)) == 1)
-        self.assertEqual(ended[0][0] == 0, self.versions(ground) == {2}, ended)
-        self.end(ground, ("s3", keeper))
+        self.assertEqual(results[0][0] == 0, self.versions(ground) == {2}, results)
+        self.check_fleet(ground, ("s3", connected_member))
 
-    def test_the_store_is_away_for_longer_than_a_permit(self) -> None:
-        ground = self.begin(seed=77, away_ms=14000.0)
-        code, said = self.propose(ground)
-        self.assertEqual(code, 0, said)
+    def test_the_store_has_no_majority_for_longer_than_a_permit(self) -> None:
+        ground = self.start_fleet(seed=77, away_ms=14000.0)
+        code, output = self.propose(ground)
+        self.assertEqual(code, 0, output)
         ground.until(lambda: self.versions(ground) == {2})
         ground.until(lambda: (ground.path / "policy-s4" / "version-2.json").exists())
         ground.kill("s0", "s1")
-        code, said = self.propose(ground)
-        self.assertEqual(code, 1, said)  # no change without a majority
+        code, output = self.propose(ground)
+        self.assertEqual(code, 1, output)  # no change without a majority
         ground.kill("s4")
-        ground.start("s4")  # within its permit: it starts without the store, under the last version
-        self.assertEqual(self.of(ground, "s4")["version"], 2)
-        ground.until(lambda: all(self.of(ground, name)["may"] == "refuse" for name in ground.reached()))
+        ground.start("s4")  # starts without the store, within its cached permit
+        self.assertEqual(self.policy_status(ground, "s4")["version"], 2)
+        ground.until(
+            lambda: all(self.policy_status(ground, name)["may"] == "refuse" for name in ground.reached())
+        )
         ground.start("s0", wait=False)
         ground.start("s1", wait=False)
         ground.serving("s0")
         ground.serving("s1")
-        ground.until(lambda: all(self.of(ground, name)["may"] == "take" for name in ground.reached()))
-        found = {name: self.of(ground, name) for name in ground.reached()}
-        self.assertEqual({each["version"] for each in found.values()}, {2}, (said, found))
-        self.end(ground, tuple(ground.schedulers))
-
-    def test_all_are_killed_at_once_and_started_again(self) -> None:
-        ground = self.begin(seed=78)
-        self.later(ground, "--wait", "5")
-        ground.until(lambda: self.of(ground, "s0")["change"] is not None or self.versions(ground) != {1})
+        ground.until(
+            lambda: all(self.policy_status(ground, name)["may"] == "take" for name in ground.reached())
+        )
+        statuses = {name: self.policy_status(ground, name) for name in ground.reached()}
+        self.assertEqual({each["version"] for each in statuses.values()}, {2}, (output, statuses))
+        self.check_fleet(ground, tuple(ground.schedulers))
+
+    def test_all_processes_are_killed_and_restarted_during_a_change(self) -> None:
+        ground = self.start_fleet(seed=78)
+        self.propose_in_background(ground, "--wait", "5")
+        ground.until(
+            lambda: self.policy_status(ground, "s0")["change"] is not None or self.versions(ground) != {1}
+        )
         ground.kill(*ground.schedulers)
         for name in ground.schedulers:
             ground.start(name, wait=False)
@@ -227,41 +238,42 @@
             ground.serving(name)
         ground.until(
             lambda: (
-                ground.contact() and all(self.of(ground, name)["change"] is None for name in ground.reached())
+                ground.contact()
+                and all(self.policy_status(ground, name)["change"] is None for name in ground.reached())
             ),
             45.0,
         )
         ground.until(lambda: len(self.versions(ground)) == 1)
-        self.end(ground, tuple(ground.schedulers))
+        self.check_fleet(ground, tuple(ground.schedulers))
 
 
-class Held(unittest.TestCase):
-    def test_a_job_that_waited_has_that_much_less_time(self) -> None:
-        side, posted = object.__new__(PolicyService), []
-        side.request_manager = SimpleNamespace(post=posted.append)
-        side.participant = SimpleNamespace(decide_admission=lambda now: AdmissionDecision("take", 2))
-        waited, side.resubmitted_requests = 100.0, []
-        side.queued_requests = deque(
+class QueueTimeTests(unittest.TestCase):
+    def test_the_time_in_the_queue_is_deducted_from_the_budget(self) -> None:
+        service, posted = object.__new__(PolicyService), []
+        service.request_manager = SimpleNamespace(post=posted.append)
+        service.participant = SimpleNamespace(decide_admission=lambda now: AdmissionDecision("take", 2))
+        waited_ms, service.resubmitted_requests = 100.0, []
+        service.queued_requests = deque(
             [
                 (
-                    clock_ms() + MAX_ADMISSION_WAIT_MS - waited,
+                    clock_ms() + MAX_ADMISSION_WAIT_MS - waited_ms,
                     RequestSubmitted(JobRequest("j", "look", 900.0), None),
                 )
             ]
         )
-        side._release_queued()
-        self.assertAlmostEqual(posted[0].request.budget, 900.0 - waited, delta=50.0)
-        self.assertLessEqual(posted[0].request.budget, 900.0 - waited)
+        service._release_queued()
+        self.assertAlmostEqual(posted[0].request.budget, 900.0 - waited_ms, delta=50.0)
+        self.assertLessEqual(posted[0].request.budget, 900.0 - waited_ms)
 
 
-class Off(unittest.TestCase):
-    def test_nothing_of_it_is_loaded(self) -> None:
+class WithoutPolicyTests(unittest.TestCase):
+    def test_the_daemon_does_not_load_the_policy_modules(self) -> None:
         code = (
             "import sys, spanwing.daemon; print([name for name in sys.modules "
             "if name.startswith(('spanwing.policy', 'spanwing.hot_restart'))])"
         )
-        said = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
-        self.assertEqual(said.stdout.strip(), "[]", said.stderr)
+        process = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
+        self.assertEqual(process.stdout.strip(), "[]", process.stderr)
 
 
 if __name__ == "__main__":
--- a/tests/test_policy_sound.py
+++ b/tests/test_policy_sound.py
@@ -1,4 +1,4 @@
-"""What a scheduler says of a proposed policy."""
+"""The validation of proposed policies by a scheduler."""
 
 from __future__ import annotations
 
@@ -29,103 +29,106 @@
 )
 
 
-def policy(**changes) -> dict:
-    own = {"position", "zone"}
-    return {name: copy.deepcopy(each) for name, each in settings(**changes).items() if name not in own}
+def create_policy(**changes) -> dict:
+    per_scheduler = {"position", "zone"}
+    return {
+        name: copy.deepcopy(value) for name, value in settings(**changes).items() if name not in per_scheduler
+    }
 
 
-def running(**more) -> RunningState:
-    options = msgspec.json.decode(json.dumps(policy()), type=PlatformSettings)
+def running_state(**fields) -> RunningState:
+    options = msgspec.json.decode(json.dumps(create_policy()), type=PlatformSettings)
     options.zone = "a"
-    return RunningState(scheduler_settings(options), **more)
-
-
-class Sound(unittest.TestCase):
-    def says(self, wanted: dict | str, **more) -> str:
-        text = wanted if isinstance(wanted, str) else json.dumps(wanted)
-        said = find_objection(text, running(**more))
-        self.assertNotIn("\n", said)
-        return said
-
-    def test_ready(self) -> None:
-        self.assertEqual(self.says(policy()), "")
-        wanted = policy()
-        wanted["classes"][0]["aim_ms"] = 500.0
-        self.assertEqual(self.says(wanted, open_requests={"status-read": 7}), "")
-        self.assertEqual(parse_policy(json.dumps(wanted), running().settings).classes[0].aim, 500.0)
-
-    def test_bad_versions_each_with_its_reason(self) -> None:
-        wanted = policy()
-        longer = policy(kinds=["x" * MAX_POLICY_BYTES])
-        newer = copy.deepcopy(wanted)
-        newer["classes"][1]["preempts"] = True
-        aim = copy.deepcopy(wanted)
-        aim["classes"][0]["aim_ms"] = -1.0
-        many = policy(
+    return RunningState(scheduler_settings(options), **fields)
+
+
+class ValidationTests(unittest.TestCase):
+    def find_objection(self, policy: dict | str, **fields) -> str:
+        """Returns the objection to a policy, and checks that it is one line."""
+        text = policy if isinstance(policy, str) else json.dumps(policy)
+        objection = find_objection(text, running_state(**fields))
+        self.assertNotIn("\n", objection)
+        return objection
+
+    def test_valid_policies(self) -> None:
+        self.assertEqual(self.find_objection(create_policy()), "")
+        policy = create_policy()
+        policy["classes"][0]["aim_ms"] = 500.0
+        self.assertEqual(self.find_objection(policy, open_requests={"status-read": 7}), "")
+        self.assertEqual(parse_policy(json.dumps(policy), running_state().settings).classes[0].aim, 500.0)
+
+    def test_invalid_policies_and_their_objections(self) -> None:
+        policy = create_policy()
+        too_long = create_policy(kinds=["x" * MAX_POLICY_BYTES])
+        unknown_field = copy.deepcopy(policy)
+        unknown_field["classes"][1]["preempts"] = True
+        negative_objective = copy.deepcopy(policy)
+        negative_objective["classes"][0]["aim_ms"] = -1.0
+        too_many_classes = create_policy(
             classes=[
                 {"name": f"c{number}", "aim_ms": 1.0, "deadline_ms": 2.0} for number in range(MAX_CLASSES + 1)
             ]
         )
-        for text, why in (
-            (longer, "bytes"),
+        for text, objection in (
+            (too_long, "bytes"),
             ("{", "cannot be read"),
             ("[]", "not a JSON object"),
-            (dict(wanted, position=1), "is set for each scheduler"),
-            (newer, r"classes\[1\].preempts: this"),
-            (aim, "aim"),
-            (many, "classes: 65"),
-            (dict(wanted, orgs=[{"name": "corrib", "allowance_per_s": 0.0}]), "a quota of 0"),
-            (dict(wanted, areas=["b"]), "zone"),
-            (dict(wanted, balancers=0), "nodes"),
+            (dict(policy, position=1), "is set for each scheduler"),
+            (unknown_field, r"classes\[1\].preempts: this"),
+            (negative_objective, "aim"),
+            (too_many_classes, "classes: 65"),
+            (dict(policy, orgs=[{"name": "corrib", "allowance_per_s": 0.0}]), "a quota of 0"),
+            (dict(policy, areas=["b"]), "zone"),
+            (dict(policy, balancers=0), "nodes"),
             (
-                dict(wanted, orgs=[{"name": f"o{number}", "allowance_per_s": 1.0} for number in range(300)]),
+                dict(policy, orgs=[{"name": f"o{number}", "allowance_per_s": 1.0} for number in range(300)]),
                 "MB",
             ),
         ):
-            with self.subTest(why):
-                self.assertRegex(self.says(text, available_memory_mb=0.1), why)
+            with self.subTest(objection):
+                self.assertRegex(self.find_objection(text, available_memory_mb=0.1), objection)
 
-    def test_what_runs_forbids(self) -> None:
-        gone = policy()
-        del gone["classes"][1]
-        safe = policy()
+    def test_open_requests_and_idempotency_keys_prevent_changes(self) -> None:
+        removed = create_policy()
+        del removed["classes"][1]
+        safe = create_policy()
         safe["classes"][1]["idempotency"] = "safe"
-        shrinks = policy()
-        shrinks["classes"][2]["window_ms"] = 1000.0
-        grows = policy()
-        grows["classes"][2]["window_ms"] = 99000.0
-        keys = {"idempotency_windows_ms": {"setpoint-push": 800.0}}
-        for wanted, more, why in (
-            (gone, {"open_requests": {"schedule-apply": 2}}, "cannot be removed with 2 requests open"),
-            (gone, {}, "^$"),
+        shorter_window = create_policy()
+        shorter_window["classes"][2]["window_ms"] = 1000.0
+        longer_window = create_policy()
+        longer_window["classes"][2]["window_ms"] = 99000.0
+        open_keys = {"idempotency_windows_ms": {"setpoint-push": 800.0}}
+        for policy, fields, objection in (
+            (removed, {"open_requests": {"schedule-apply": 2}}, "cannot be removed with 2 requests open"),
+            (removed, {}, "^$"),
             (
                 safe,
                 {"open_requests": {"schedule-apply": 1}},
                 "effect cannot change from unsafe to safe with 1 request open",
             ),
             (safe, {}, "^$"),
-            (shrinks, keys, "may be used again for 0.8 s"),
-            (shrinks, {}, "^$"),
-            (grows, keys, "^$"),
+            (shorter_window, open_keys, "may be used again for 0.8 s"),
+            (shorter_window, {}, "^$"),
+            (longer_window, open_keys, "^$"),
         ):
-            with self.subTest(why):
-                self.assertRegex(self.says(wanted, **more), why)
+            with self.subTest(objection):
+                self.assertRegex(self.find_objection(policy, **fields), objection)
 
     @given(JSON)
-    def test_whatever_the_text_is_it_is_one_line(self, value) -> None:
-        self.says(json.dumps(value))
+    def test_the_objection_to_any_json_is_one_line(self, value) -> None:
+        self.find_objection(json.dumps(value))
 
     @given(st.text(max_size=40))
-    def test_whatever_is_no_json_too(self, text: str) -> None:
-        self.says(text)
+    def test_the_objection_to_any_text_is_one_line(self, text: str) -> None:
+        self.find_objection(text)
 
-    def test_differences_name_what_changes(self) -> None:
-        new = policy()
+    def test_differences_name_each_changed_setting(self) -> None:
+        new = create_policy()
         new["classes"][0]["aim_ms"] = 500.0
         del new["kinds"]
         new["orgs"] = [{"name": "corrib", "allowance_per_s": 3.0}]
         self.assertEqual(
-            describe_differences(json.dumps(policy()), json.dumps(new)),
+            describe_differences(json.dumps(create_policy()), json.dumps(new)),
             [
                 "  classes[status-read].aim_ms: 850.0 -> 500.0",
                 "- kinds = ['big']",
