--- a/spanwing/policy/service.py
+++ b/spanwing/policy/service.py
@@ -194,10 +194,10 @@
         now = clock_ms()
         action = self.participant.decide_admission(now).action
         while self.queued_requests and (action == "take" or now >= self.queued_requests[0][0]):
-            wait_ends_at, submitted = self.queued_requests.popleft()
+            wait_ends_at_ms, submitted = self.queued_requests.popleft()
             if action == "take":  # the time in the queue is deducted from the client's budget
                 remaining_ms = max(
-                    1.0, submitted.request.budget - (now - wait_ends_at + MAX_ADMISSION_WAIT_MS)
+                    1.0, submitted.request.budget - (now - wait_ends_at_ms + MAX_ADMISSION_WAIT_MS)
                 )
                 resubmitted = submitted._replace(request=replace(submitted.request, budget=remaining_ms))
                 self.resubmitted_requests.append(resubmitted)
@@ -271,9 +271,8 @@
         started_at_s = time.perf_counter()
         try:
             settings = parse_policy(current.text, self.own_settings)
-        except (
-            ValueError
-        ) as error:  # in force without this scheduler's vote; it rejects requests until a newer version
+        except ValueError as error:
+            # It came into force without this scheduler's vote: no request is accepted under it here.
             log_event("policy_unfit", level="error", version=current.number, reason=str(error))
             return
         previous_scheduler, now_ms = request_manager.scheduler, request_manager.clock.now_ms()
--- a/spanwing/store/document_service.py
+++ b/spanwing/store/document_service.py
@@ -90,10 +90,10 @@
         leader.answer_due_renewals(clock_ms())
 
     async def _read_document(self) -> None:
-        read_started_at = clock_ms()
-        self.last_read_at_ms = read_started_at
+        read_started_at_ms = clock_ms()
+        self.last_read_at_ms = read_started_at_ms
         document = decode_document(await self.store.read_register(DOCUMENT_KEY))
-        self.leader.handle_read(clock_ms(), read_started_at, document)
+        self.leader.handle_read(clock_ms(), read_started_at_ms, document)
 
     async def commit(self, transaction: Transaction) -> bool:
         """Applies a transaction to the document; returns False if one of its conditions does not hold.
--- a/spanwing/store/leader.py
+++ b/spanwing/store/leader.py
@@ -180,8 +180,8 @@
             for each in self.sessions.values()
         )
 
-    def handle_read(self, now: float, read_started_at: float, document: Document) -> None:
-        """Processes the document from a majority read that began at read_started_at.
+    def handle_read(self, now: float, read_started_at_ms: float, document: Document) -> None:
+        """Processes the document from a majority read that began at read_started_at_ms.
 
         Confirms the renewals that were received before, if this member leads.
         """
@@ -199,7 +199,7 @@
         self.leader_seen_at_ms = now
         for session in self.sessions.values():
             pending = session.pending_renewal
-            if pending is None or pending.received_at_ms > read_started_at or pending.is_confirmed:
+            if pending is None or pending.received_at_ms > read_started_at_ms or pending.is_confirmed:
                 continue
             if pending.renewal.acknowledged_revision > document.revision:  # no document has had this revision
                 self.rejected_renewals += 1
@@ -295,17 +295,17 @@
         self.sessions.clear()
 
     def has_lease_expired(self, session_id: str, now: float) -> bool:
-        """Returns whether every lease granted to this session so far has expired at its holder.
+        """Returns whether every lease granted to this session so far, also by earlier leaders, has expired.
 
-        This includes leases from earlier leaders. The holder cannot act again without a new lease.
+        The session's holder then cannot act again without a new lease.
         """
         known_session = self.sessions.get(session_id)
-        confirmed_at = (
+        confirmed_at_ms = (
             self.leading_since_ms
             if known_session is None
             else max(self.leading_since_ms, known_session.confirmed_at_ms)
         )
-        return now >= lease_expiry_ms(confirmed_at, self.lease_ms)
+        return now >= lease_expiry_ms(confirmed_at_ms, self.lease_ms)
 
     def active_sessions(self, now: float) -> list[SchedulerSession]:
         """Returns the sessions to which this member has granted a lease that may still be valid."""
--- a/spanwing/store/lease.py
+++ b/spanwing/store/lease.py
@@ -36,9 +36,9 @@
 
     def extend(self, message_id: int, lease_ms: float) -> None:
         """Extends the lease to lease_ms after the renewal was sent. Ignores an unknown renewal."""
-        sent_at = self.renewals_sent.pop(message_id, None)
-        if sent_at is not None and lease_ms > 0:
-            self.expires_at_ms = max(self.expires_at_ms, sent_at + lease_ms)
+        sent_at_ms = self.renewals_sent.pop(message_id, None)
+        if sent_at_ms is not None and lease_ms > 0:
+            self.expires_at_ms = max(self.expires_at_ms, sent_at_ms + lease_ms)
 
     def is_valid(self, now: float) -> bool:
         """Returns whether the lease is valid at time `now` (ms)."""
--- a/spanwing/store/peer.py
+++ b/spanwing/store/peer.py
@@ -69,7 +69,7 @@
     def handle_message(self, message: tuple[StoreRequest, Future[StoreResponse | None]]) -> None:
         """Sends a request, and first opens a connection if none is open."""
         request, reply = message
-        for message_id in [id for id, each in self.pending_replies.items() if each.done()]:  # timed out
+        for message_id in [key for key, each in self.pending_replies.items() if each.done()]:  # timed out
             del self.pending_replies[message_id]
         self.pending_replies[request.message_id] = reply
         now = self.loop.time()
@@ -119,7 +119,7 @@
                 if pending is not None:
                     future_set_result_unless_cancelled(pending, reply)
         except (LineTooLongError, ValueError):
-            pass
+            pass  # not the store's protocol: close the connection
         stream.close()
         self._fail_pending_replies()
 
