--- a/measure/fleet/simulated.py
+++ b/measure/fleet/simulated.py
@@ -32,7 +32,7 @@
 from spanwing.store.document import Document, Transaction, catch_up
 from spanwing.store.leader import Leader
 from spanwing.store.lease import Lease
-from spanwing.store.messages import Renew, RenewalGranted
+from spanwing.store.messages import Renew, RenewalReply
 from spanwing.zones.agent import ZoneAgent
 from spanwing.zones.controller import ListedWorker, ZoneController, ZoneLimits
 from spanwing.zones.routing_filter import RoutingRules
@@ -192,18 +192,18 @@
         if self.granted < n == self.renewals:
             self.renew()
 
-    def hear(self, granted: RenewalGranted) -> None:
+    def hear(self, granted: RenewalReply) -> None:
         before = self.document
         self.document = catch_up(before, granted.changes, granted.document)
         if self.document is not before:
             self.local.routing_filter.update_zones(
                 read_fleet_zones(self.document), self.now(), self.world.agenda.now_ms
             )
-        self.lease.extend(granted.n, granted.lease_ms)
+        self.lease.extend(granted.message_id, granted.lease_ms)
         if granted.zones_to_probe:
             self.ask(self.local.choose_workers_to_probe(granted.zones_to_probe))
-        if granted.n == self.renewals and granted.n > self.granted:
-            self.granted = granted.n
+        if granted.message_id == self.renewals and granted.message_id > self.granted:
+            self.granted = granted.message_id
             self.call(100.0 if granted.lease_ms else self.world.random.uniform(50, 400), self.renew)
 
     def holds(self) -> bool:
@@ -321,8 +321,8 @@
         named = None if keeps is None else keeps.member
         keeper = next((each for each in self.members if each.name == named), None)
 
-        def answer(by: Member) -> Callable[[RenewalGranted], None]:
-            def told(granted: RenewalGranted) -> None:
+        def answer(by: Member) -> Callable[[RenewalReply], None]:
+            def told(granted: RenewalReply) -> None:
                 if scheduler.life == life:
                     self.tell(by, scheduler, lambda: scheduler.hear(granted))
 
--- a/spanwing/simulation/zone_fleet.py
+++ b/spanwing/simulation/zone_fleet.py
@@ -20,7 +20,7 @@
 from spanwing.store.document import Document, catch_up
 from spanwing.store.leader import LEADERSHIP_KEY, Leader, Leadership
 from spanwing.store.lease import Lease
-from spanwing.store.messages import Renew, RenewalGranted
+from spanwing.store.messages import Renew, RenewalReply
 from spanwing.zones import trial_requests as trial
 from spanwing.zones.agent import ZoneAgent
 from spanwing.zones.controller import ListedWorker, ZoneController, ZoneLimits
@@ -144,13 +144,13 @@
         if self.last_answered_renewal < renewal_number == self.last_renewal_number:
             self._send_renewal()
 
-    def handle_grant(self, grant: RenewalGranted) -> None:
+    def handle_grant(self, grant: RenewalReply) -> None:
         """Takes over the leader's answer to a renewal: the lease, the document and zones to probe."""
         if not self.scheduler.is_up:
             return
         previous = self.document
         self.document = catch_up(previous, grant.changes, grant.document)
-        self.lease.extend(grant.n, grant.lease_ms)
+        self.lease.extend(grant.message_id, grant.lease_ms)
         if self.document is not previous:
             self._handle_document_change()
         if grant.zones_to_probe:
@@ -159,8 +159,8 @@
             trial.start_trials(
                 self.scheduler.decision_module, self.zone_agent.tries(now, grant.zones_to_probe), now
             )
-        if grant.n == self.last_renewal_number and grant.n > self.last_answered_renewal:
-            self.last_answered_renewal = grant.n
+        if grant.message_id == self.last_renewal_number and grant.message_id > self.last_answered_renewal:
+            self.last_answered_renewal = grant.message_id
             self.event_queue.schedule_after(MIN_RENEWAL_INTERVAL_MS, self._send_renewal)
 
     # -- changes of the document and the lease
@@ -405,7 +405,7 @@
         leadership = msgspec.json.encode(Leadership(scheduler.name, self.document.revision)).decode()
         transaction = self.leader.takeover_transaction(now, f"{self.random_source.random()}")
         self.document = self.document.apply(
-            msgspec.structs.replace(transaction, writes={LEADERSHIP_KEY: leadership}, at={})
+            msgspec.structs.replace(transaction, writes={LEADERSHIP_KEY: leadership}, expected_revisions={})
         )
         self.leader.handle_change(now, self.document)
         self._run_leader(scheduler)
@@ -443,7 +443,7 @@
         if delay_ms is None:
             return
 
-        def answer(granted: RenewalGranted) -> None:
+        def answer(granted: RenewalReply) -> None:
             back = self.network.message_delay_ms(leader_zone, follower.scheduler.zone)
             if back is not None:
                 self.event_queue.schedule_after(back, follower.handle_grant, granted)
