--- a/spanwing/simulation/zone_fleet.py
+++ b/spanwing/simulation/zone_fleet.py
@@ -153,7 +153,9 @@
             self._probe_workers(self.zone_agent.choose_workers_to_probe(grant.zones_to_probe))
             now = self.event_queue.now_ms
             trial.start_trials(
-                self.scheduler.decision_module, self.zone_agent.tries(now, grant.zones_to_probe), now
+                self.scheduler.decision_module,
+                self.zone_agent.choose_trial_workers(now, grant.zones_to_probe),
+                now,
             )
         if grant.n == self.last_renewal_number and grant.n > self.last_answered_renewal:
             self.last_answered_renewal = grant.n
--- a/spanwing/zones/agent.py
+++ b/spanwing/zones/agent.py
@@ -189,7 +189,7 @@
             for worker in choose_workers_to_probe(zone, workers, self.random_source, self.rules.zone)
         ]
 
-    def tries(self, now: float, zones: Iterable[str]) -> list[int]:
+    def choose_trial_workers(self, now: float, zones: Iterable[str]) -> list[int]:
         """Returns, for each of these zones, one worker without evidence, to get a trial request.
 
         Called when the leader asks for probes. A zone that fails requests may well answer probes, and a
--- a/spanwing/zones/service.py
+++ b/spanwing/zones/service.py
@@ -141,7 +141,7 @@
             self._probe_workers(self.agent.choose_workers_to_probe(zones))
             trial.start_trials(
                 self.request_manager.scheduler,
-                self.agent.tries(clock_ms(), zones),
+                self.agent.choose_trial_workers(clock_ms(), zones),
                 self.request_manager.clock.now_ms(),
             )
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -210,7 +210,7 @@
         """The keeper asks, and every worker answers probes; jobs fail in this zone alone."""
         for worker in local.choose_workers_to_probe((zone,)):
             local.probe_finished(driver.now, worker, "ok")
-        trial.start_trials(driver.node, local.tries(driver.now, (zone,)), driver.now)
+        trial.start_trials(driver.node, local.choose_trial_workers(driver.now, (zone,)), driver.now)
         rid, actions = driver.ask()
         worker = sends(actions)[0].worker
         local.attempt_sent(driver.now, worker, (rid, 0))
@@ -234,7 +234,7 @@
         local, driver = self.scheduler("a", 0)
         self.look(local, driver)
         self.look(local, driver)
-        self.assertEqual(local.tries(driver.now, ("c", "no such zone")), [])
+        self.assertEqual(local.choose_trial_workers(driver.now, ("c", "no such zone")), [])
 
     def test_only_a_job_that_may_be_repeated_is_sent_on_trial_and_only_soon(self) -> None:
         for cls, max_attempts, after, tried in (
