--- a/spanwing/zones/agent.py
+++ b/spanwing/zones/agent.py
@@ -203,7 +203,7 @@
             unseen = [
                 worker
                 for worker in self.routing_filter.workers_by_zone().get(zone, ())
-                if self.evidence_collector.word(now, worker) is None
+                if self.evidence_collector.worker_health(now, worker) is None
             ]
             found += [self.random_source.choice(unseen)] if unseen else []
         return found
--- a/spanwing/zones/evidence.py
+++ b/spanwing/zones/evidence.py
@@ -237,7 +237,7 @@
             self._record_good(now, observation)
         return False
 
-    def word(self, now: float, worker: int) -> bool | None:
+    def worker_health(self, now: float, worker: int) -> bool | None:
         """Returns True for good evidence on a worker, False for bad, None for none lately."""
         sight = self.observations.get(worker)
         return None if sight is None else sight.is_healthy(now, self._last_good_outside(sight.zone))
