--- a/spanwing/zones/controller.py
+++ b/spanwing/zones/controller.py
@@ -529,9 +529,12 @@
         votes, reported_workers = dict.fromkeys(worker_ids, 0), set[int]()
         for each in observers:
             zone_evidence = each.evidence.get(name)
-            if zone_evidence is None or not any(other.good for other in each.evidence.values()):
+            if zone_evidence is None or not any(other.healthy_workers for other in each.evidence.values()):
                 continue
-            for reported_ids, weight in ((zone_evidence.good, 1), (zone_evidence.faulty_workers, -1)):
+            for reported_ids, weight in (
+                (zone_evidence.healthy_workers, 1),
+                (zone_evidence.faulty_workers, -1),
+            ):
                 for worker in worker_ids.intersection(reported_ids):
                     votes[worker] += weight
                     reported_workers.add(worker)
@@ -669,7 +672,7 @@
 
 def _without_good_evidence(zones: Mapping[str, ZoneEvidence]) -> dict[str, ZoneEvidence]:
     """Returns a report's evidence without its good part, which has aged."""
-    return {name: msgspec.structs.replace(words, good=[]) for name, words in zones.items()}
+    return {name: msgspec.structs.replace(words, healthy_workers=[]) for name, words in zones.items()}
 
 
 class EvidenceSummary(NamedTuple):
--- a/spanwing/zones/evidence.py
+++ b/spanwing/zones/evidence.py
@@ -37,7 +37,7 @@
 class ZoneEvidence(msgspec.Struct, array_like=True):
     """Evidence on one zone: workers by the last 16 bits of their id, and slots."""
 
-    good: list[int]
+    healthy_workers: list[int]
     faulty_workers: list[int]
     slots_in_flight: float = 0.0  # slots of this scheduler's requests there
     idle_slots: float = 0.0  # slots believed idle at owned workers
@@ -63,8 +63,10 @@
         raise ValueError(f"{len(payload)} bytes of evidence, {MAX_REPORT_BYTES} at most")
     report = REPORT_DECODER.decode(payload)
     for zone_evidence in report.zones.values():
-        if max(len(zone_evidence.good), len(zone_evidence.faulty_workers)) > MAX_REPORTED_WORKERS or not all(
-            0 <= each <= 0xFFFF for each in (*zone_evidence.good, *zone_evidence.faulty_workers)
+        if max(
+            len(zone_evidence.healthy_workers), len(zone_evidence.faulty_workers)
+        ) > MAX_REPORTED_WORKERS or not all(
+            0 <= each <= 0xFFFF for each in (*zone_evidence.healthy_workers, *zone_evidence.faulty_workers)
         ):
             raise ValueError("words beyond their bounds")
         if not (0 <= zone_evidence.slots_in_flight < math.inf and 0 <= zone_evidence.idle_slots < math.inf):
@@ -170,7 +172,7 @@
         evidence, least of all once it is connected again.
         """
         remote_zones = [name for name in evidence if name != self.own_zone]
-        if len(remote_zones) > 1 and not any(evidence[name].good for name in remote_zones):
+        if len(remote_zones) > 1 and not any(evidence[name].healthy_workers for name in remote_zones):
             for observation in self.observations.values():
                 if observation.zone in remote_zones:
                     observation.last_bad_ms = observation.last_failed_request_ms = -math.inf
@@ -252,7 +254,7 @@
             is_healthy = observation.is_healthy(now, last_good_elsewhere[observation.zone])
             if is_healthy is not None:
                 zone_evidence = found.setdefault(observation.zone, ZoneEvidence([], []))
-                target = zone_evidence.good if is_healthy else zone_evidence.faulty_workers
+                target = zone_evidence.healthy_workers if is_healthy else zone_evidence.faulty_workers
                 if len(target) < MAX_REPORTED_WORKERS:
                     target.append(short_worker_id(worker))
         return found
@@ -269,7 +271,7 @@
                 observation.unanswered_since_ms.clear()
         self.last_report_ms = now
         found = self.evidence_by_zone(now)
-        if len(found) > 1 and not any(words.good for words in found.values()):
+        if len(found) > 1 and not any(words.healthy_workers for words in found.values()):
             # A scheduler that sees all zones as bad is cut off itself: its evidence until now is void.
             for observation in self.observations.values():
                 observation.last_bad_ms = -math.inf
--- a/spanwing/zones/failure_detector.py
+++ b/spanwing/zones/failure_detector.py
@@ -53,12 +53,12 @@
     others = {
         name: words
         for name, words in observer.evidence.items()
-        if name != zone and (words.good or words.faulty_workers)
+        if name != zone and (words.healthy_workers or words.faulty_workers)
     }
-    if not any(words.good for words in others.values()):
+    if not any(words.healthy_workers for words in others.values()):
         return False
     remote_evidence = [words for name, words in others.items() if name != observer.zone]
-    return not remote_evidence or any(words.good for words in remote_evidence)
+    return not remote_evidence or any(words.healthy_workers for words in remote_evidence)
 
 
 def required_observers(scheduler_count: int, observer_count: int) -> int:
@@ -91,16 +91,16 @@
     credible_observers, agreeing_observers, agreeing_zones = 0, 0, set[str]()
     for each in observers:
         zone_evidence = each.evidence.get(zone)
-        if zone_evidence is None or not (zone_evidence.good or zone_evidence.faulty_workers):
+        if zone_evidence is None or not (zone_evidence.healthy_workers or zone_evidence.faulty_workers):
             continue
         if each.zone == zone:
-            good_inside.update(known_workers.intersection(zone_evidence.good))
+            good_inside.update(known_workers.intersection(zone_evidence.healthy_workers))
         if not is_credible(zone, each):
             continue
         votes_by_zone[each.zone].subtract(known_workers.intersection(zone_evidence.faulty_workers))
-        votes_by_zone[each.zone].update(known_workers.intersection(zone_evidence.good))
+        votes_by_zone[each.zone].update(known_workers.intersection(zone_evidence.healthy_workers))
         credible_observers += 1
-        if len(zone_evidence.faulty_workers) > len(zone_evidence.good):
+        if len(zone_evidence.faulty_workers) > len(zone_evidence.healthy_workers):
             agreeing_observers += 1
             agreeing_zones.add(each.zone)
     # A cut link between two zones makes many schedulers of one zone report bad evidence, which lasts longer
--- a/spanwing/zones/service.py
+++ b/spanwing/zones/service.py
@@ -410,7 +410,7 @@
                 "author": zone.author,
                 "failures": zone.failures,
                 "workers": len(workers_by_zone.get(name, ())),
-                "seen_good": len(zone_evidence.good) if zone_evidence else 0,
+                "seen_good": len(zone_evidence.healthy_workers) if zone_evidence else 0,
                 "seen_bad": len(zone_evidence.faulty_workers) if zone_evidence else 0,
                 "used": sum(self.may_forward(each) for each in workers_by_zone.get(name, ())),
             }
--- a/tests/golden_folders.py
+++ b/tests/golden_folders.py
@@ -493,7 +493,7 @@
     local = SimpleNamespace(
         fleet=fleet,
         evidence_collector=SimpleNamespace(
-            evidence_by_zone=lambda now: {"galway": ZoneEvidence(good=[1], faulty_workers=[2, 3])}
+            evidence_by_zone=lambda now: {"galway": ZoneEvidence(healthy_workers=[1], faulty_workers=[2, 3])}
         ),
         routing_filter=SimpleNamespace(workers_by_zone=lambda: {"galway": [1, 2, 3], "sligo": [4]}),
     )
--- a/tests/golden_messages.py
+++ b/tests/golden_messages.py
@@ -190,7 +190,9 @@
     "reason": "silent",
     "author": "member-a",
 }
-_WORDS = evidence.ZoneEvidence(good=[1, 2], faulty_workers=[3], slots_in_flight=4.5, idle_slots=5.5)
+_WORDS = evidence.ZoneEvidence(
+    healthy_workers=[1, 2], faulty_workers=[3], slots_in_flight=4.5, idle_slots=5.5
+)
 
 
 def _zones() -> dict[str, Any]:
@@ -204,7 +206,7 @@
         "past full": state.ZoneHistoryEntry(**_ZONE_PAST, share=0.25),
         "past least": state.ZoneHistoryEntry(**_ZONE_PAST),
         "words full": _WORDS,
-        "words least": evidence.ZoneEvidence(good=[1, 2], faulty_workers=[3]),
+        "words least": evidence.ZoneEvidence(healthy_workers=[1, 2], faulty_workers=[3]),
         "report full": evidence.EvidenceReport(zones={"galway": _WORDS}),
         "order full": steward.ZoneOrder("leave", "galway", 30.5, "operator at a"),
         "order least": steward.ZoneOrder("return", "galway"),
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -272,7 +272,7 @@
         self.assertEqual(witness.evidence_by_zone(700.0)["a"].faulty_workers, [5])
         witness.attempt_sent(700.0, 5, "a", ("k", 0))
         witness.attempt_accepted(720.0, 5, ("k", 0))
-        self.assertEqual(witness.evidence_by_zone(730.0)["a"].good, [5])
+        self.assertEqual(witness.evidence_by_zone(730.0)["a"].healthy_workers, [5])
         self.assertEqual(witness.evidence_by_zone(5000.0), {})
 
     def test_who_was_stopped_or_sees_nothing_but_bad_takes_back_what_it_saw(self) -> None:
@@ -284,7 +284,7 @@
             witness.probe_finished(9100.0, worker, zone, "unreachable")
         self.assertEqual(witness.build_report(9200.0).zones, {})
         witness.probe_finished(9300.0, 6, "b", "ok")
-        self.assertEqual(witness.build_report(9400.0).zones["b"].good, [6])
+        self.assertEqual(witness.build_report(9400.0).zones["b"].healthy_workers, [6])
 
     def test_silence_counts_only_if_others_answer_meanwhile(self) -> None:
         witness = EvidenceCollector("own")
@@ -312,7 +312,7 @@
         witness.attempt_sent(1600.0, 2, "near", ("back", 0))
         witness.attempt_ended(1700.0, 2, ("back", 0), "ok")
         words = witness.evidence_by_zone(1700.0)
-        self.assertEqual(words["near"].good, [2])
+        self.assertEqual(words["near"].healthy_workers, [2])
         self.assertNotIn("far", words)
         # One other zone that fails, while another one is seen well, stays bad.
         witness.probe_finished(1750.0, 3, "far", "unreachable")
