--- a/measure/fleet/simulated.py
+++ b/measure/fleet/simulated.py
@@ -149,7 +149,7 @@
         self.lease, self.document = Lease(), Document()
         rules = RoutingRules(self.session, self.zone, world.cold, FALL_MS, FEEDERS)
         if "no-wait" in world.bugs:
-            rules = rules._replace(fall_ms=-LATE_MS)
+            rules = rules._replace(overload_window_ms=-LATE_MS)
         self.local = ZoneAgent(
             rules,
             self.position,
--- a/spanwing/simulation/zone_fleet.py
+++ b/spanwing/simulation/zone_fleet.py
@@ -236,7 +236,7 @@
         )
         super().__init__(simulation, scheduler, incarnation)
         self.zone_agent.routing_filter.rules = self.zone_agent.rules = self.zone_agent.rules._replace(
-            solo=True
+            is_standalone=True
         )
         self.standalone = StandaloneController(
             self.session_id, scheduler.zone, controller, self.event_queue.now_ms
--- a/spanwing/zones/agent.py
+++ b/spanwing/zones/agent.py
@@ -196,7 +196,7 @@
         scheduler that sends it nothing has no evidence on it: a single scheduler would go on sending there
         without a verdict. Empty in standalone mode.
         """
-        if self.rules.solo:
+        if self.rules.is_standalone:
             return []
         found = []
         for zone in zones:
@@ -224,7 +224,7 @@
             else:
                 found += (
                     self.random_source.sample(ids, min(STANDALONE_PROBES_PER_ZONE, len(ids)))
-                    if self.rules.solo
+                    if self.rules.is_standalone
                     else [worker for worker in ids if self.random_source.random() < probe_probability]
                 )
         self.background_probes = (
--- a/spanwing/zones/routing_filter.py
+++ b/spanwing/zones/routing_filter.py
@@ -24,14 +24,14 @@
 
     session: str
     zone: str
-    cold_ms: float
-    fall_ms: float
-    feeders: int  # feeders of one worker that is warming up
-    solo: bool = False  # standalone: no feeder assignment, feeding as the scheduler computes it
+    slow_start_ms: float
+    overload_window_ms: float
+    feeder_count: int  # feeders of one worker that is warming up
+    is_standalone: bool = False  # standalone: no feeder assignment, feeding as the scheduler computes it
 
     def feeder_change_delay_ms(self) -> float:
         """Returns after how many ms a former feeder has surely spent nothing within a window."""
-        return self.fall_ms + MAX_TRANSIT_MS
+        return self.overload_window_ms + MAX_TRANSIT_MS
 
 
 class WorkerRouting(NamedTuple):
@@ -111,8 +111,8 @@
         rules = self.rules
         is_first = self.is_first_position(worker.id)
         # With one feeder its part is the whole budget, and a second feeder would exceed it.
-        feeds_without_lease = is_first and rules.feeders > 1
-        if rules.solo:
+        feeds_without_lease = is_first and rules.feeder_count > 1
+        if rules.is_standalone:
             return WorkerRouting(
                 is_admitted,
                 is_admitted_without_lease=is_admitted,
@@ -159,7 +159,7 @@
         """
         assignment, rules = self.fleet.feeder_assignment, self.rules
         if assignment is None or rules.session not in choose_feeders(
-            worker, assignment.sessions, rules.feeders
+            worker, assignment.sessions, rules.feeder_count
         ):
             return False
         if worker not in self.feeding_starts_ms or self.feeding_starts_ms[worker] == math.inf:
@@ -177,7 +177,7 @@
             return False
         if (
             worker_routing.started_at_ms <= 0
-            or module_now >= worker_routing.started_at_ms + self.rules.cold_ms
+            or module_now >= worker_routing.started_at_ms + self.rules.slow_start_ms
         ):
             return True
         if not has_lease:
--- a/spanwing/zones/service.py
+++ b/spanwing/zones/service.py
@@ -298,9 +298,9 @@
     def _handle_policy_change(self, settings: api.Settings) -> None:
         """Applies another policy: the slow start of workers and their feeders."""
         rules = self.agent.rules._replace(
-            cold_ms=settings.cold_ms,
-            fall_ms=settings.fall_ms,
-            feeders=self.request_manager.scheduler.feeders,
+            slow_start_ms=settings.cold_ms,
+            overload_window_ms=settings.fall_ms,
+            feeder_count=self.request_manager.scheduler.feeders,
         )
         self.agent.rules = self.agent.routing_filter.rules = rules
         self.agent.hashed_feeders.clear()
