--- a/measure/fleet/simulated.py
+++ b/measure/fleet/simulated.py
@@ -229,7 +229,7 @@
         )
         if gate.may_forward(worker.number, now, lease, clock) and (use.is_feeder is not None or by_hash):
             # By a list that does not show its new life yet, a worker of an open zone is fed as ever.
-            inside = gate.fleet is not None and gate.fleet.get_zone(worker.zone).inside
+            inside = gate.fleet is not None and gate.fleet.get_zone(worker.zone).used_by_own_zone
             blind = use.started_at_ms < worker.started and (use.is_feeder is None or not lease or inside)
             self.jobs += 1
             key = f"{self.session} {self.jobs}", 0
--- a/spanwing/zones/agent.py
+++ b/spanwing/zones/agent.py
@@ -135,7 +135,7 @@
     def unused_zones(self) -> Iterator[str]:
         """Yields zones that this scheduler may send nothing to while it has a lease."""
         for name, zone in self.fleet.zones.items() if self.fleet is not None else ():
-            is_used_inside = zone.inside and name == self.rules.zone
+            is_used_inside = zone.used_by_own_zone and name == self.rules.zone
             if zone.state in ("leaving", "left") and zone.share <= 0 and not is_used_inside:
                 yield name
 
--- a/spanwing/zones/controller.py
+++ b/spanwing/zones/controller.py
@@ -198,7 +198,7 @@
         observers = self.recent_observers(now, leader)
         for name in self.recent_workers:
             zone = self.fleet.get_zone(name)
-            if zone.state == "open" and not zone.held:
+            if zone.state == "open" and not zone.on_hold:
                 verdict = self._judge_zone(name, observers)
                 if verdict.agreeing_observers and verdict.finding == "unknown":
                     found.append(name)
@@ -271,7 +271,7 @@
         failed_zones: dict[str, tuple[ZoneVerdict, str]] = {}
         for name in self.recent_workers:  # also a zone whose workers the list has just dropped
             zone = fleet.get_zone(name)
-            if zone.state == "open" and not zone.held:
+            if zone.state == "open" and not zone.on_hold:
                 verdict = self._judge_zone(name, observers)
                 if verdict.finding != "cut":
                     self.cut_off_since.pop(name, None)
@@ -293,7 +293,7 @@
                         name in listed
                         and name not in failed_zones
                         and name not in left_zones
-                        and not fleet.get_zone(name).held
+                        and not fleet.get_zone(name).on_hold
                     ):
                         verdict = self._judge_zone(name, observers)
                         failed_zones[name] = (
@@ -365,7 +365,9 @@
                 del self.gradual_leaves[name]
                 changed_zones[name] = _zone_with(zone, share=0.0)
             elif self._is_known_to_all(now, fleet.revisions[name], leader):
-                changed_zones[name] = _zone_with(zone, state="left", share=0.0 if zone.held else zone.share)
+                changed_zones[name] = _zone_with(
+                    zone, state="left", share=0.0 if zone.on_hold else zone.share
+                )
         return changed_zones
 
     def _is_known_to_all(self, now: float, revision: int, leader: Leader) -> bool:
@@ -383,7 +385,7 @@
         leader: Leader,
     ) -> dict[str, ZoneState]:
         for name, zone in fleet.zones.items():
-            if zone.held or zone.state not in ("left", "returning"):
+            if zone.on_hold or zone.state not in ("left", "returning"):
                 continue
             revision, workers = fleet.revisions[name], listed.get(name, [])
             elapsed_ms = self._time_since_seen(now, name, revision)
@@ -468,10 +470,10 @@
             zone,
             state="returning",
             step=1,
-            inside=False,
+            used_by_own_zone=False,
             share=0.0,
-            held=False,
-            starts=starts,
+            on_hold=False,
+            worker_starts_ms=starts,
             reason=reason,
             author=author,
         )
@@ -599,7 +601,8 @@
         if not remaining_zones:
             raise ValueError(f"{order.target}: no other zone is in use, and the last one is never left")
         if all(
-            fleet.get_zone(name).state in ("leaving", "left") and fleet.get_zone(name).held for name in names
+            fleet.get_zone(name).state in ("leaving", "left") and fleet.get_zone(name).on_hold
+            for name in names
         ):
             raise ValueError(f"{order.target} is left already, by an order")
         share = 1.0 if order.duration_s else 0.0
@@ -661,9 +664,9 @@
     ) -> dict[str, ZoneState]:
         reason = "held by order" if on_hold else "released by order"
         changed_zones = {
-            name: _zone_with(fleet.get_zone(name), held=on_hold, reason=reason, author=order.author)
+            name: _zone_with(fleet.get_zone(name), on_hold=on_hold, reason=reason, author=order.author)
             for name in names
-            if fleet.get_zone(name).held != on_hold
+            if fleet.get_zone(name).on_hold != on_hold
         }
         if not changed_zones:
             raise ValueError(f"{order.target} is {'held already' if on_hold else 'not held'}")
@@ -692,4 +695,4 @@
 
 
 def _state_label(zone: ZoneState) -> str:
-    return f"{zone.state}, held" if zone.held else zone.state
+    return f"{zone.state}, held" if zone.on_hold else zone.state
--- a/spanwing/zones/routing_filter.py
+++ b/spanwing/zones/routing_filter.py
@@ -127,12 +127,12 @@
                 is_feeder_without_lease=feeds_without_lease,
                 started_at_ms=worker.started,
             )
-        without_lease = is_first and not (zone.held and zone.state != "returning")
+        without_lease = is_first and not (zone.on_hold and zone.state != "returning")
         is_feeder, feeding_from_ms, full_budget_from_ms, started = False, -math.inf, -math.inf, worker.started
         if zone.state == "returning":
             # Endpoint lists may be late: what the fleet knows of a new incarnation counts for all.
             return_seen_at, return_seen_module_time = self.return_started_at[worker.zone]
-            start_time = zone.starts.get(str(short_worker_id(worker.id)), return_seen_module_time)
+            start_time = zone.worker_starts_ms.get(str(short_worker_id(worker.id)), return_seen_module_time)
             started = max(started, start_time)
             if self._is_assigned_feeder(worker.id, now):
                 assigned.add(worker.id)
@@ -240,7 +240,7 @@
 
 def admitted_count(zone: ZoneState, worker_count: int, is_own_zone: bool) -> int:
     """Returns how many of a zone's workers are in use, the first in admission order."""
-    if zone.state == "open" or (zone.inside and is_own_zone):
+    if zone.state == "open" or (zone.used_by_own_zone and is_own_zone):
         return worker_count
     share = zone.step / RETURN_STEPS if zone.state == "returning" else zone.share
     return math.ceil(share * worker_count - 1e-9)
--- a/spanwing/zones/state.py
+++ b/spanwing/zones/state.py
@@ -28,13 +28,13 @@
     state: ZonePhase = "open"
     step: int = 0  # of a return, 1 to RETURN_STEPS
     share: float = 0.0  # fraction of its workers in use while it is left
-    inside: bool = False  # schedulers of this zone go on using it
-    held: bool = False  # on hold by an operator: changes by orders alone
+    used_by_own_zone: bool = msgspec.field(default=False, name="inside")  # by schedulers in this zone
+    on_hold: bool = msgspec.field(default=False, name="held")  # only an operator's orders change it
     failures: int = 0  # in a row; each doubles the hold-down
     reason: str = ""
     author: str = ""
     #: Of a return: start of workers' incarnations by short id, wall clock in ms, where known.
-    starts: dict[str, float] = {}
+    worker_starts_ms: dict[str, float] = msgspec.field(default={}, name="starts")
 
 
 class FeederAssignment(msgspec.Struct, frozen=True):
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -365,7 +365,7 @@
         self.assertEqual(self.used(self.gate(ZoneState())), set(range(1, 9)))
         self.assertEqual(self.used(self.gate(ZoneState("left"))), set())
         self.assertEqual(self.used(self.gate(ZoneState("left")), lease=False), {1})  # one scheduler for each
-        self.assertEqual(self.used(self.gate(ZoneState("left", held=True)), lease=False), set())
+        self.assertEqual(self.used(self.gate(ZoneState("left", on_hold=True)), lease=False), set())
         self.assertEqual(len(self.used(self.gate(ZoneState("leaving", share=0.5)))), 4)
 
     def test_cold_workers_are_fed_by_the_dealt_alone_and_first_with_half_a_share(self) -> None:
