--- a/spanwing/zones/__init__.py
+++ b/spanwing/zones/__init__.py
@@ -1,4 +1,4 @@
-"""Zones of the fleet, which all schedulers leave and return to together.
+"""Zone failover: all schedulers of the fleet leave a failed zone, and return to it, together.
 
-Loaded only where the operator's file asks for it.
+Imported only if the operator's file has a [zones] table.
 """
--- a/spanwing/zones/agent.py
+++ b/spanwing/zones/agent.py
@@ -1,9 +1,10 @@
-"""One scheduler's decisions about the fleet's zones, without I/O.
+"""The zone logic of one scheduler process, without I/O.
 
-Joins the routing filter and the evidence collector; says which workers to probe and what to report. Pure;
-time is passed in (now: by the lease's clock; module_now: by the scheduler's). The scheduler is notified of
-every change of what it may use, and of none twice. Bounds: those of the routing filter and the evidence
-collector; one round of probes per FAULT_PROBE_INTERVAL_MS after this scheduler's own bad evidence.
+Combines the routing filter and the evidence collector, chooses the workers to probe and builds the evidence
+report. Pure; time is passed in as ms of two clocks: now is read from the lease's clock, module_now from the
+decision module's. The decision module is told of each change to a worker exactly once. Bounds: those of the
+routing filter and the evidence collector; at most one round of probes per FAULT_PROBE_INTERVAL_MS follows
+faults that this scheduler sees itself.
 """
 
 from __future__ import annotations
@@ -25,12 +26,12 @@
 from spanwing.zones.routing_filter import RoutingFilter, RoutingRules
 from spanwing.zones.state import FleetZones
 
-STANDALONE_PROBES_PER_ZONE = 4  # probes per second at a zone that is not open, in standalone mode
-PROBES_PER_WORKER_S = 3.0  # to each worker of a zone that is not open, by all schedulers together
+STANDALONE_PROBES_PER_ZONE_PER_S = 4  # at a zone that is not open, in standalone mode
+PROBES_PER_WORKER_PER_S = 3.0  # to each worker of a zone that is not open, by all schedulers together
 
 
 class ZoneAgent:
-    """One scheduler's part in the zones: routing filter, evidence collector, choice of probes."""
+    """The routing filter, the evidence collector and the choice of probes of one scheduler process."""
 
     def __init__(
         self,
@@ -40,7 +41,11 @@
         is_hashed_feeder: Callable[[int], bool],
         random_source: random.Random,
     ) -> None:
-        """is_hashed_feeder: whether this scheduler feeds a worker by the hash of all positions."""
+        """Creates an agent that knows no workers yet.
+
+        position: this scheduler's position, from 0 to scheduler_count - 1. is_hashed_feeder: returns whether
+        rendezvous hashing over all positions makes this scheduler a feeder of a worker.
+        """
         self.rules, self.position, self.scheduler_count, self.is_hashed_feeder, self.random_source = (
             rules,
             position,
@@ -52,29 +57,33 @@
             RoutingFilter(rules, lambda worker: self._first_position(worker) == position),
             EvidenceCollector(rules.zone),
         )
+        # Caches of _first_position() and is_hashed_feeder(), cleared beyond twice the worker list plus 64.
         self.first_positions: dict[int, int] = {}
         self.hashed_feeders: dict[int, bool] = {}
-        self.announced_workers: dict[int, api.Worker] = {}  # as the scheduler has them
-        self.newly_admitted: set[int] = set()  # since restart_concurrency_limits() was last called
+        self.announced_workers: dict[int, api.Worker] = {}  # as the decision module knows them
+        self.newly_admitted: set[int] = set()  # since the last call of restart_concurrency_limits()
         self.last_fault_probe_ms = -math.inf
         self.probed_zones: frozenset[str] = frozenset()  # zones of the last round of probes
-        self.background_probes: set[int] = set()  # workers of open zones probed without bad evidence
+        self.background_probes: set[int] = set()  # workers of open zones probed although no fault was seen
 
     @property
     def fleet(self) -> FleetZones | None:
-        """The fleet's zones as last followed; None before the first update."""
+        """The zones of the last document received; None before the first one."""
         return self.routing_filter.fleet
 
     def is_open(self, zone: str) -> bool:
-        """Returns whether the zone is open; all are before the first update."""
+        """Returns whether the zone is open. All zones are open before the first document."""
         return self.fleet is None or self.fleet.get_zone(zone).state == "open"
 
-    # -- workers as the scheduler has them
+    # -- workers as the decision module sees them
 
     def filter_workers(
         self, endpoint_list: api.WorkerList, now: float, module_now: float, has_lease: bool
     ) -> api.WorkerList:
-        """Returns the watch event with the workers as the scheduler is to see them."""
+        """Returns the watch event for the decision module.
+
+        A worker that may not be used is shown as draining.
+        """
         self.routing_filter.update_workers(endpoint_list, now, module_now)
         if endpoint_list.scope == "error":
             return endpoint_list
@@ -86,7 +95,7 @@
         return api.WorkerList(endpoint_list.scope, (*self.changed_workers(now, has_lease), *removed))
 
     def changed_workers(self, now: float, has_lease: bool) -> list[api.Worker]:
-        """Returns, and remembers as announced, the workers that differ from what the scheduler has."""
+        """Returns the workers that changed since they were last announced, and marks them as announced."""
         filtered = self.routing_filter.filter_workers(
             self.routing_filter.workers.values(), now, has_lease, self._is_hashed_feeder
         )
@@ -105,10 +114,10 @@
         return changed
 
     def restart_concurrency_limits(self, scheduler: Dispatcher) -> None:
-        """Sets the limit of newly admitted workers to one request, as after a backoff.
+        """Sets the concurrency limit of newly admitted workers to 1, as after a backoff.
 
-        Such a worker first has to succeed on an idempotent request. Called once the scheduler has these
-        workers.
+        Such a worker must complete an idempotent request before it gets others. To be called after the
+        decision module has handled the watch event that admits these workers.
         """
         for worker in self.newly_admitted:
             worker_state = scheduler.views.get(worker)
@@ -117,6 +126,7 @@
         self.newly_admitted.clear()
 
     def _is_hashed_feeder(self, worker: int) -> bool:
+        """Returns is_hashed_feeder(worker), cached."""
         if worker not in self.hashed_feeders:
             if len(self.hashed_feeders) > 2 * len(self.routing_filter.workers) + 64:
                 self.hashed_feeders.clear()
@@ -124,25 +134,26 @@
         return self.hashed_feeders[worker]
 
     def _first_position(self, worker: int) -> int:
+        """Returns the scheduler position that rendezvous hashing ranks first for a worker, cached."""
         if worker not in self.first_positions:
             if len(self.first_positions) > 2 * len(self.routing_filter.workers) + 64:
                 self.first_positions.clear()
             self.first_positions[worker] = nlargest(
-                1, range(self.scheduler_count), key=lambda node: mix(worker, node)
+                1, range(self.scheduler_count), key=lambda position: mix(worker, position)
             )[0]
         return self.first_positions[worker]
 
     def unused_zones(self) -> Iterator[str]:
-        """Yields zones that this scheduler may send nothing to while it has a lease."""
+        """Yields the zones to which this scheduler forwards nothing while it has a lease."""
         for name, zone in self.fleet.zones.items() if self.fleet is not None else ():
-            is_used_inside = zone.used_by_own_zone and name == self.rules.zone
-            if zone.state in ("leaving", "left") and zone.share <= 0 and not is_used_inside:
+            is_used_by_this_scheduler = zone.used_by_own_zone and name == self.rules.zone
+            if zone.state in ("leaving", "left") and zone.share <= 0 and not is_used_by_this_scheduler:
                 yield name
 
-    # -- evidence
+    # -- evidence and probes
 
     def attempt_sent(self, now: float, worker: int, attempt: tuple[str, int]) -> None:
-        """Records that an attempt was sent to a worker."""
+        """Records that an attempt was sent to a worker. Ignored if the worker is not listed."""
         entry = self.routing_filter.workers.get(worker)
         if entry is not None:
             self.evidence_collector.attempt_sent(now, worker, entry.zone, attempt)
@@ -168,9 +179,9 @@
         return self._probe_after_fault(now, worker) if is_new_fault else []
 
     def _probe_after_fault(self, now: float, worker: int) -> list[int]:
-        """Returns workers of its zone and of others to probe after a healthy worker's fault.
+        """Returns the workers to probe after a fault of this worker, from its zone and from others.
 
-        At most one round per FAULT_PROBE_INTERVAL_MS.
+        Empty if the last round was less than FAULT_PROBE_INTERVAL_MS ago.
         """
         entry = self.routing_filter.workers.get(worker)
         if entry is None or now < self.last_fault_probe_ms + FAULT_PROBE_INTERVAL_MS:
@@ -190,59 +201,61 @@
         ]
 
     def choose_trial_workers(self, now: float, zones: Iterable[str]) -> list[int]:
-        """Returns, for each of these zones, one worker without evidence, to get a trial request.
+        """Returns one worker without evidence for each of these zones, to receive a trial request.
 
-        Called when the leader asks for probes. A zone that fails requests may well answer probes, and a
-        scheduler that sends it nothing has no evidence on it: a single scheduler would go on sending there
-        without a verdict. Empty in standalone mode.
+        Called when the leader asks for probes. A zone that fails requests may still answer probes, so a
+        scheduler that sends it no requests gets no evidence against it. If only one scheduler sent requests
+        there, there would be no verdict and that scheduler would keep sending them. Empty in standalone mode.
         """
         if self.rules.is_standalone:
             return []
-        found = []
+        chosen = []
         for zone in zones:
-            unseen = [
+            candidates = [
                 worker
                 for worker in self.routing_filter.workers_by_zone().get(zone, ())
                 if self.evidence_collector.worker_health(now, worker) is None
             ]
-            found += [self.random_source.choice(unseen)] if unseen else []
-        return found
+            chosen += [self.random_source.choice(candidates)] if candidates else []
+        return chosen
 
     def choose_background_probes(self) -> list[int]:
-        """Returns the workers to probe in this second: some of zones not open, one of the open zones.
+        """Returns the workers to probe this second: some in zones that are not open, one in an open zone.
 
-        Where this scheduler sends little, these probes are all its evidence.
+        A scheduler that forwards few requests gets most of its evidence from these probes.
         """
-        probe_probability, open_zone_workers, found = (
-            min(1.0, PROBES_PER_WORKER_S / self.scheduler_count),
+        probe_probability, open_zone_workers, chosen = (
+            min(1.0, PROBES_PER_WORKER_PER_S / self.scheduler_count),
             [],
             [],
         )
-        for name, ids in self.routing_filter.workers_by_zone().items():
-            if self.is_open(name):
-                open_zone_workers += ids
+        for zone, worker_ids in self.routing_filter.workers_by_zone().items():
+            if self.is_open(zone):
+                open_zone_workers += worker_ids
             else:
-                found += (
-                    self.random_source.sample(ids, min(STANDALONE_PROBES_PER_ZONE, len(ids)))
+                chosen += (
+                    self.random_source.sample(
+                        worker_ids, min(STANDALONE_PROBES_PER_ZONE_PER_S, len(worker_ids))
+                    )
                     if self.rules.is_standalone
-                    else [worker for worker in ids if self.random_source.random() < probe_probability]
+                    else [worker for worker in worker_ids if self.random_source.random() < probe_probability]
                 )
         self.background_probes = (
             {self.random_source.choice(open_zone_workers)} if open_zone_workers else set()
         )
-        return [*found, *self.background_probes]
+        return [*chosen, *self.background_probes]
 
     def build_evidence_report(
         self, now: float, worker_states: Iterable[View], module_now: float
     ) -> EvidenceReport:
-        """Returns the report for the next renewal; worker_states: the scheduler's."""
+        """Returns the report for the next renewal; worker_states: all workers of the decision module."""
         return self.evidence_collector.build_report(now, slots_by_zone(worker_states, module_now))
 
 
 def slots_by_zone(worker_states: Iterable[View], module_now: float) -> Iterator[tuple[str, float, float]]:
-    """Yields zone, slots in flight and idle slots of each listed worker.
+    """Yields the zone, the slots in flight and the idle slots of each listed worker.
 
-    Only owned workers that are not in backoff have idle slots.
+    Workers that this scheduler does not own, and workers in backoff, count as having no idle slots.
     """
     for worker_state in worker_states:
         if worker_state.entry.state != "gone":
