--- a/spanwing/zones/controller.py
+++ b/spanwing/zones/controller.py
@@ -1,10 +1,10 @@
-"""The zone controller: decides the next change of the fleet's zones from all schedulers' evidence.
+"""The zone controller: derives the next change of the fleet's zones from the evidence of all schedulers.
 
-Pure; time is passed in. It makes one change at a time, on the condition that the keys it was computed from
-are unchanged. The last open zone is never left, and a returning zone does not count as open. A zone returns
-only once nobody can still use it by an older state, and a new feeder assignment comes into force only once
-nobody can still feed by the former one. A zone on hold by an operator changes by orders alone. Bounds: one
-report per session, MAX_ZONES zones.
+Pure; time is passed in. Each decision is at most one transaction, which applies only if the keys it was
+computed from are unchanged. The last open zone is never left, and a returning zone does not count as open. A
+zone returns only after no scheduler can still use it by an older state, and a new feeder assignment comes
+into force only after no scheduler can still feed by the previous one. A zone on hold changes only by an
+operator's orders. Bounds: one report per session, MAX_ZONES zones.
 """
 
 from __future__ import annotations
@@ -53,11 +53,11 @@
 MIN_HOLD_DOWN_MS, MAX_HOLD_DOWN_MS = (
     1000.0,
     120_000.0,
-)  # hold-down of a zone that was left
-FAILURE_RESET_MS = 600_000.0  # after so long open, earlier failures no longer count
-MIN_RETURN_STEP_MS = 600.0  # minimum duration of a step of a return
+)  # hold-down of a zone that was left; it doubles with each failure in a row
+FAILURE_RESET_MS = 600_000.0  # after this long open, earlier failures no longer count
+MIN_RETURN_STEP_MS = 600.0  # a step of a return lasts at least this before the next
 MIN_ASSIGNMENT_INTERVAL_MS = 1000.0  # between two feeder assignments
-WORKER_COUNT_WINDOW_MS = 60_000.0  # a zone's worker count is its maximum within this
+WORKER_COUNT_WINDOW_MS = 60_000.0  # workers listed within this still count as the zone's
 MAX_GRADUAL_LEAVE_S = 3600.0
 MAX_ZONES_TO_PROBE = 4
 
@@ -67,26 +67,26 @@
 
 
 class ListedWorker(NamedTuple):
-    """A worker as the leader's own endpoint list has it."""
+    """A worker in the leader's own endpoint list."""
 
     id: int
-    started_at_ms: float  # wall clock, ms; 0: long ago
+    started_at_ms: float  # wall clock; 0: long ago
     is_warming_up: bool
 
 
 class ZoneLimits(NamedTuple):
-    """Limits from the settings and the operator's file."""
+    """The controller's limits, from the settings and the operator's file."""
 
-    feeder_change_delay_ms: float  # a window of warm-up budgets, plus MAX_TRANSIT_MS
-    slow_start_ms: float = 0.0  # a worker warms up for so long after its start
-    scheduler_count: int = 1  # configured, up or down
+    feeder_change_delay_ms: float  # the overload window plus MAX_TRANSIT_MS
+    slow_start_ms: float = 0.0  # how long a worker warms up after its start
+    scheduler_count: int = 1  # configured schedulers, up or down
     regions: Mapping[str, tuple[str, ...]] = {}
-    probes_enabled: bool = True  # schedulers may probe a zone that was left
-    is_sampled: bool = False  # standalone: one scheduler never sees all workers of a zone
+    probes_enabled: bool = True  # without probes, a zone that was left returns without evidence
+    is_sampled: bool = False  # standalone mode: one scheduler does not see all workers of a zone
 
 
 class ZoneOrder(msgspec.Struct, forbid_unknown_fields=True):
-    """An operator's order."""
+    """An operator's order for a zone or a region."""
 
     action: str = msgspec.field(name="do")
     target: str = msgspec.field(name="name")
@@ -95,7 +95,10 @@
 
 
 class ZoneController:
-    """Decides the next change of the zones while this member leads (spanwing.store.leader.Controller)."""
+    """Decides the next change of the zones while this member leads.
+
+    Implements spanwing.store.leader.Controller.
+    """
 
     def __init__(
         self,
@@ -105,40 +108,49 @@
         author: str,
         new_id: Callable[[], str] = _random_id,
     ) -> None:
-        """Creates a controller.
+        """Creates a controller without any reports.
 
-        list_workers: returns each zone's workers as this process lists them; new_id: returns an id for a
-        transaction.
+        list_workers: returns the workers of each zone in this process's endpoint list. author: recorded as
+        the author of the controller's changes. new_id: returns an id for a transaction.
         """
         self.limits, self.list_workers, self.wall_clock_ms = limits, list_workers, wall_clock_ms
         self.author, self.new_id = author, new_id
-        self.reports: dict[str, tuple[float, str, EvidenceReport]] = {}  # by session: at, zone, report
-        self.revision_seen_at: dict[str, tuple[int, float]] = {}  # by zone or ASSIGNMENT_KEY: when first seen
-        self.recent_workers: dict[str, dict[int, float]] = {}  # by zone: short worker id -> last listed at
-        self.returning_since: dict[str, float] = {}  # by returning zone
-        self.cut_off_since: dict[str, float] = {}  # by zone whose verdict is "cut"
-        self.gradual_leaves: dict[str, tuple[float, float]] = {}  # ordered over a time: start, duration (ms)
+        self.reports: dict[
+            str, tuple[float, str, EvidenceReport]
+        ] = {}  # by session: received at (ms), zone, report
+        self.revision_first_seen: dict[
+            str, tuple[int, float]
+        ] = {}  # by zone or ASSIGNMENT_KEY: revision, first seen at (ms)
+        self.recent_workers: dict[
+            str, dict[int, float]
+        ] = {}  # by zone: short worker id -> last listed at (ms)
+        self.returning_since_ms: dict[str, float] = {}  # by returning zone
+        self.cut_off_since_ms: dict[str, float] = {}  # by zone whose verdict is "cut"
+        self.gradual_leaves_ms: dict[
+            str, tuple[float, float]
+        ] = {}  # by zone, as ordered: start and duration (ms)
         self.parsed_document: Document | None = None
         self.fleet = read_fleet_zones(Document())
 
     # -- input
 
     def refresh_worker_list(self, now: float) -> None:
-        """Records how many workers each zone has.
+        """Records which workers each zone has.
 
-        Called also while another member leads: the list may drop a zone's workers before this member takes
-        over.
+        Called also while another member leads, since the endpoint list may drop a failed zone's workers
+        before this member takes over.
         """
-        self._refresh_listed_workers(now)
+        self._record_listed_workers(now)
 
     def record_evidence(self, now: float, session: SchedulerSession, evidence: msgspec.Raw) -> None:
-        """Records a session's evidence report, in place of its former one.
+        """Records a session's evidence report in place of its previous one.
 
-        Raises ValueError if it is not a valid report or the session's position is not among the settings'
-        schedulers.
+        Raises ValueError if the report is invalid or the session's position is outside the configured range.
         """
         if not 0 <= session.position < self.limits.scheduler_count:
-            raise ValueError(f"position {session.position} is none of {self.limits.scheduler_count}")
+            raise ValueError(
+                f"position {session.position} is out of range; schedulers: {self.limits.scheduler_count}"
+            )
         self.reports[session.id] = now, session.zone, decode_report(bytes(evidence))
 
     def _parse_document(self, document: Document) -> FleetZones:
@@ -146,42 +158,47 @@
             self.parsed_document, self.fleet = document, read_fleet_zones(document)
         return self.fleet
 
-    def _time_since_seen(self, now: float, name: str, revision: int) -> float:
-        """Returns for how many ms this process has seen the revision under this name.
+    def _ms_since_first_seen(self, now: float, name: str, revision: int) -> float:
+        """Returns how long ago, in ms, this process first saw this revision of a zone or of ASSIGNMENT_KEY.
 
-        The time under an earlier leader does not count.
+        What an earlier leader saw does not count.
         """
-        known = self.revision_seen_at.get(name)
-        if known is None or known[0] != revision:
-            known = self.revision_seen_at[name] = revision, now
-        return now - known[1]
+        first_seen = self.revision_first_seen.get(name)
+        if first_seen is None or first_seen[0] != revision:
+            first_seen = self.revision_first_seen[name] = revision, now
+        return now - first_seen[1]
 
-    def _refresh_listed_workers(self, now: float) -> dict[str, list[ListedWorker]]:
+    def _record_listed_workers(self, now: float) -> dict[str, list[ListedWorker]]:
+        """Records the listed workers in recent_workers, and returns them by zone, at most MAX_ZONES zones."""
         listed = dict(sorted(self.list_workers().items())[:MAX_ZONES])
         for zone, workers in listed.items():
             last_listed = self.recent_workers.setdefault(zone, {})
             last_listed.update((short_worker_id(each.id), now) for each in workers)
         for zone, last_listed in list(self.recent_workers.items()):
             self.recent_workers[zone] = {
-                each: at for each, at in last_listed.items() if now - at <= WORKER_COUNT_WINDOW_MS
+                worker: listed_at_ms
+                for worker, listed_at_ms in last_listed.items()
+                if now - listed_at_ms <= WORKER_COUNT_WINDOW_MS
             }
             if not self.recent_workers[zone]:
                 del self.recent_workers[zone]
         return listed
 
     def recent_observers(self, now: float, leader: Leader) -> list[Observer]:
-        """Returns the sessions with a lease and their recent evidence, aged good evidence left out."""
-        active_sessions = {each.id for each in leader.active_sessions(now)}
-        self.reports = {id: each for id, each in self.reports.items() if id in leader.sessions}
+        """Returns the sessions that hold a lease, with their evidence as far as it has not expired."""
+        active_session_ids = {each.id for each in leader.active_sessions(now)}
+        self.reports = {
+            session_id: report for session_id, report in self.reports.items() if session_id in leader.sessions
+        }
         return [
             Observer(
                 zone,
                 report.zones
-                if now - at <= GOOD_EVIDENCE_MAX_AGE_MS
+                if now - received_at_ms <= GOOD_EVIDENCE_MAX_AGE_MS
                 else _without_good_evidence(report.zones),
             )
-            for id, (at, zone, report) in self.reports.items()
-            if id in active_sessions and now - at <= BAD_EVIDENCE_MAX_AGE_MS
+            for session_id, (received_at_ms, zone, report) in self.reports.items()
+            if session_id in active_session_ids and now - received_at_ms <= BAD_EVIDENCE_MAX_AGE_MS
         ]
 
     def _judge_zone(self, name: str, observers: list[Observer]) -> ZoneVerdict:
@@ -190,34 +207,35 @@
         )
 
     def zones_to_probe(self, now: float, leader: Leader) -> tuple[str, ...]:
-        """Returns open zones that a credible observer sees as down while too few report on them.
+        """Returns open zones that a credible observer reports as down although the verdict is unknown.
 
-        At most MAX_ZONES_TO_PROBE; zones on hold are left out.
+        Zones on hold are left out. Returns at most MAX_ZONES_TO_PROBE.
         """
-        found = []
+        undecided_zones = []
         observers = self.recent_observers(now, leader)
         for name in self.recent_workers:
             zone = self.fleet.get_zone(name)
             if zone.state == "open" and not zone.on_hold:
                 verdict = self._judge_zone(name, observers)
                 if verdict.agreeing_observers and verdict.finding == "unknown":
-                    found.append(name)
-        return tuple(found[:MAX_ZONES_TO_PROBE])
+                    undecided_zones.append(name)
+        return tuple(undecided_zones[:MAX_ZONES_TO_PROBE])
 
     # -- decisions
 
     def decide_next_change(self, now: float, document: Document, leader: Leader) -> Transaction | None:
         """Returns the next change that is due, or None.
 
-        Order: leave failed zones, finish leaving, advance a return, assign feeders.
+        Changes are considered in this order: leave failed zones, finish leaving a zone, advance a return,
+        assign feeders.
         """
-        fleet, listed = self._parse_document(document), self._refresh_listed_workers(now)
+        fleet, listed = self._parse_document(document), self._record_listed_workers(now)
         for name, revision in fleet.revisions.items():
-            self._time_since_seen(now, name, revision)
+            self._ms_since_first_seen(now, name, revision)
             if fleet.get_zone(name).state == "returning":
-                self.returning_since.setdefault(name, now)
+                self.returning_since_ms.setdefault(name, now)
             else:
-                self.returning_since.pop(name, None)
+                self.returning_since_ms.pop(name, None)
         observers = self.recent_observers(now, leader)
         changed_zones = (
             self._leave_failed_zones(now, fleet, listed, observers)
@@ -267,18 +285,22 @@
         listed: Mapping[str, list[ListedWorker]],
         observers: list[Observer],
     ) -> dict[str, ZoneState]:
-        """Returns the failed zones as leaving, as far as the other zones can bear it."""
+        """Returns the new states of the zones to leave, by name.
+
+        These are the failed zones, and all zones of a region once at least half of them, and at least two,
+        have failed or been left. At least one open zone is kept.
+        """
         failed_zones: dict[str, tuple[ZoneVerdict, str]] = {}
-        for name in self.recent_workers:  # also a zone whose workers the list has just dropped
+        for name in self.recent_workers:  # includes a zone whose workers the endpoint list just dropped
             zone = fleet.get_zone(name)
             if zone.state == "open" and not zone.on_hold:
                 verdict = self._judge_zone(name, observers)
                 if verdict.finding != "cut":
-                    self.cut_off_since.pop(name, None)
-                # Good evidence from inside may predate the zone's loss until it has aged.
+                    self.cut_off_since_ms.pop(name, None)
+                # Good evidence from schedulers in the zone may predate its failure until it has expired.
                 is_cut_off = (
                     verdict.finding == "cut"
-                    and now - self.cut_off_since.setdefault(name, now) > 2 * GOOD_EVIDENCE_MAX_AGE_MS
+                    and now - self.cut_off_since_ms.setdefault(name, now) > 2 * GOOD_EVIDENCE_MAX_AGE_MS
                 )
                 if verdict.finding == "failed" or is_cut_off:
                     failed_zones[name] = verdict, f"{verdict.finding}: {verdict}"
@@ -300,10 +322,10 @@
                             verdict,
                             f"region {region}: {', '.join(lost_zones)} have failed; {verdict}",
                         )
-        # A returning zone may go back at any step and takes only part of the work: it does not count.
-        whole = {name for name in listed if listed[name] and fleet.get_zone(name).state == "open"}
-        if whole <= set(failed_zones):  # keep the zone with the largest part of good workers
-            candidates_to_keep = sorted(whole) or sorted(failed_zones)
+        # A returning zone is not counted as open: it takes only part of the load and may be left again.
+        open_zones = {name for name in listed if listed[name] and fleet.get_zone(name).state == "open"}
+        if open_zones <= set(failed_zones):  # keep the zone with the largest fraction of good workers
+            candidates_to_keep = sorted(open_zones) or sorted(failed_zones)
             del failed_zones[
                 max(
                     candidates_to_keep,
@@ -329,10 +351,15 @@
         observers: list[Observer],
         unavailable_zones: set[str],
     ) -> ZoneState:
+        """Returns the leaving state of a zone.
+
+        Part of a failed zone stays in use if some of its workers are good and the other zones have fewer idle
+        slots than it has slots in flight.
+        """
         zone = fleet.get_zone(name)
         has_been_stable = (
             name in fleet.revisions
-            and self._time_since_seen(now, name, fleet.revisions[name]) > FAILURE_RESET_MS
+            and self._ms_since_first_seen(now, name, fleet.revisions[name]) > FAILURE_RESET_MS
         )
         evidence = [
             (zone_name, each) for observer in observers for zone_name, each in observer.evidence.items()
@@ -349,12 +376,15 @@
         return ZoneState("leaving", 0, share, verdict.finding == "cut", False, failures, reason, self.author)
 
     def _finish_leaving(self, now: float, fleet: FleetZones, leader: Leader) -> dict[str, ZoneState]:
-        """Returns leaving zones as left once all sessions have acknowledged that, or have expired."""
+        """Returns the new states of leaving zones: the next share of a gradual leave, or left.
+
+        A zone counts as left once every session has acknowledged its last revision or has expired.
+        """
         changed_zones = {}
         for name, zone in fleet.zones.items():
             if zone.state != "leaving":
                 continue
-            gradual_leave = self.gradual_leaves.get(name)
+            gradual_leave = self.gradual_leaves_ms.get(name)
             if gradual_leave is not None:
                 remaining_share = 1.0 - (now - gradual_leave[0]) / gradual_leave[1]
                 if remaining_share > 0:
@@ -362,7 +392,7 @@
                     if share < zone.share:
                         changed_zones[name] = _zone_with(zone, share=share)
                     continue
-                del self.gradual_leaves[name]
+                del self.gradual_leaves_ms[name]
                 changed_zones[name] = _zone_with(zone, share=0.0)
             elif self._is_known_to_all(now, fleet.revisions[name], leader):
                 changed_zones[name] = _zone_with(
@@ -371,7 +401,7 @@
         return changed_zones
 
     def _is_known_to_all(self, now: float, revision: int, leader: Leader) -> bool:
-        # Sessions that only an earlier leader knew have expired once this leadership has lasted for a lease.
+        # Sessions known only to an earlier leader have expired once this leadership has lasted for one lease.
         return leader.has_lease_expired("", now) and leader.is_acknowledged_by(
             revision, list(leader.sessions), now
         )
@@ -384,11 +414,17 @@
         observers: list[Observer],
         leader: Leader,
     ) -> dict[str, ZoneState]:
+        """Returns the next state of one zone that was left or is returning.
+
+        A zone that was left returns after its hold-down if enough workers are good. A returning zone goes one
+        step on or back by the evidence on the workers admitted so far, and opens after the last step once no
+        worker is warming up.
+        """
         for name, zone in fleet.zones.items():
             if zone.on_hold or zone.state not in ("left", "returning"):
                 continue
             revision, workers = fleet.revisions[name], listed.get(name, [])
-            elapsed_ms = self._time_since_seen(now, name, revision)
+            elapsed_ms = self._ms_since_first_seen(now, name, revision)
             if zone.state == "left":
                 if (
                     not workers
@@ -440,7 +476,7 @@
                         reason=f"{summary.good_workers} of {len(admitted)} admitted workers are well",
                     )
                 }
-            if now - self.returning_since[name] >= self.limits.slow_start_ms and not any(
+            if now - self.returning_since_ms[name] >= self.limits.slow_start_ms and not any(
                 each.is_warming_up for each in workers
             ):
                 return {name: _zone_with(zone, state="open", step=0, reason="whole", author=self.author)}
@@ -455,13 +491,13 @@
         reason: str,
         author: str,
     ) -> ZoneState:
-        """Returns the first step of a return.
+        """Returns the zone's state at the first step of a return.
 
-        A worker that the list shows as started since the zone was left warms up from that start. For any
-        other worker the list may be late, so it counts as just started.
+        A worker that the endpoint list shows as started after the zone was left warms up from that start. For
+        any other worker the list may be outdated, so it is treated as just started.
         """
         left_at_wall_ms = self.wall_clock_ms() - elapsed_ms - self.limits.feeder_change_delay_ms
-        starts = {
+        worker_starts_ms = {
             str(short_worker_id(each.id)): each.started_at_ms
             for each in workers
             if each.started_at_ms >= left_at_wall_ms
@@ -473,7 +509,7 @@
             used_by_own_zone=False,
             share=0.0,
             on_hold=False,
-            worker_starts_ms=starts,
+            worker_starts_ms=worker_starts_ms,
             reason=reason,
             author=author,
         )
@@ -486,7 +522,11 @@
         listed: Mapping[str, list[ListedWorker]],
         leader: Leader,
     ) -> Transaction | None:
-        """Returns the next change of the feeder assignment for workers that warm up in returning zones."""
+        """Returns the next change of the feeder assignment in returning zones, or None.
+
+        A new assignment is announced first and comes into force once all sessions of the previous one have
+        acknowledged it or have expired. Without a returning zone there is no assignment.
+        """
         assignment, expected_revisions = fleet.feeder_assignment, document.current_revisions(ASSIGNMENT_KEY)
         returning = [name for name, zone in fleet.zones.items() if zone.state == "returning"]
         if not returning:
@@ -506,7 +546,7 @@
                 if sessions
                 else None
             )
-        elapsed_ms = self._time_since_seen(now, ASSIGNMENT_KEY, fleet.assignment_revision)
+        elapsed_ms = self._ms_since_first_seen(now, ASSIGNMENT_KEY, fleet.assignment_revision)
         if not assignment.in_force:
             if leader.is_acknowledged_by(fleet.assignment_revision, assignment.previous_sessions, now):
                 return Transaction(
@@ -523,9 +563,10 @@
     def _summarize_evidence(
         self, name: str, observers: list[Observer], workers: list[int]
     ) -> EvidenceSummary:
-        """Counts good and bad workers by the observers that see anything as good.
+        """Counts the good and bad workers of a zone.
 
-        With more than two schedulers, a single observer cannot make a worker count as bad.
+        Only observers with good evidence on some worker of some zone have a vote. With more than two
+        schedulers, a single observer cannot make a worker count as bad.
         """
         worker_ids = {short_worker_id(each) for each in workers}
         votes, reported_workers = dict.fromkeys(worker_ids, 0), set[int]()
@@ -549,7 +590,10 @@
         )
 
     def _expected_count(self, summary: EvidenceSummary, worker_count: int) -> int:
-        """Returns how many workers the good ones are compared with."""
+        """Returns the number of workers of which a fraction has to be good.
+
+        In a sample, these are the workers with evidence, but at least MIN_SAMPLE_WORKERS.
+        """
         return (
             max(summary.reported_workers, min(MIN_SAMPLE_WORKERS, worker_count))
             if self.limits.is_sampled
@@ -561,12 +605,12 @@
     def handle_order(
         self, now: float, order: msgspec.Raw, document: Document, leader: Leader
     ) -> tuple[Transaction | None, str]:
-        """Returns the transaction for an operator's order, and the text of the answer.
+        """Returns the transaction that carries out an operator's order, and the answer's text.
 
-        Raises ValueError, with the reason, if the order is rejected.
+        Raises ValueError with the reason if the order is rejected.
         """
         zone_order = msgspec.json.decode(bytes(order), type=ZoneOrder)
-        fleet, listed = self._parse_document(document), self._refresh_listed_workers(now)
+        fleet, listed = self._parse_document(document), self._record_listed_workers(now)
         names = self.limits.regions.get(zone_order.target, (zone_order.target,))
         unknown = [name for name in names if name not in self.recent_workers and name not in fleet.zones]
         if unknown:
@@ -575,7 +619,7 @@
                 f"known: {', '.join(sorted({*self.recent_workers, *self.limits.regions}))}"
             )
         if not 0 <= zone_order.duration_s <= MAX_GRADUAL_LEAVE_S:
-            raise ValueError(f"--over: 0 to {MAX_GRADUAL_LEAVE_S:.0f} seconds are possible")
+            raise ValueError(f"--over must be from 0 to {MAX_GRADUAL_LEAVE_S:.0f} seconds")
         changed_zones = getattr(self, f"_order_{zone_order.action}", self._order_unknown)(
             now, zone_order, names, fleet, listed
         )
@@ -607,9 +651,9 @@
             raise ValueError(f"{order.target} is left already, by an order")
         share = 1.0 if order.duration_s else 0.0
         for name in names:
-            self.gradual_leaves.pop(name, None)
+            self.gradual_leaves_ms.pop(name, None)
             if order.duration_s:
-                self.gradual_leaves[name] = now, order.duration_s * 1000.0
+                self.gradual_leaves_ms[name] = now, order.duration_s * 1000.0
         return {
             name: ZoneState(
                 "leaving", 0, share, False, True, fleet.get_zone(name).failures, "ordered", order.author
@@ -631,7 +675,7 @@
             if zone.state == "leaving":
                 raise ValueError(f"{name} is still being left: not all schedulers have heard, or lapsed")
             if zone.state == "left":
-                elapsed_ms = self._time_since_seen(now, name, fleet.revisions[name])
+                elapsed_ms = self._ms_since_first_seen(now, name, fleet.revisions[name])
                 changed_zones[name] = self._begin_return(
                     now, zone, listed.get(name, []), elapsed_ms, "ordered", order.author
                 )
@@ -674,16 +718,16 @@
 
 
 def _without_good_evidence(zones: Mapping[str, ZoneEvidence]) -> dict[str, ZoneEvidence]:
-    """Returns a report's evidence without its good part, which has aged."""
-    return {name: msgspec.structs.replace(words, healthy_workers=[]) for name, words in zones.items()}
+    """Returns a report's evidence without the good evidence, which expires earlier than the bad."""
+    return {name: msgspec.structs.replace(evidence, healthy_workers=[]) for name, evidence in zones.items()}
 
 
 class EvidenceSummary(NamedTuple):
-    """Evidence on some workers of one zone, over all observers."""
+    """How many workers of a zone count as good or bad by the evidence of all observers."""
 
     good_workers: int
     bad_workers: int
-    reported_workers: int  # workers with any evidence
+    reported_workers: int  # workers on which there is any evidence
 
 
 def _zone_with(zone: ZoneState, **changes: object) -> ZoneState:
