--- a/spanwing/zones/evidence.py
+++ b/spanwing/zones/evidence.py
@@ -1,9 +1,10 @@
-"""Evidence: what one scheduler saw of each worker lately, and the short report of it.
+"""Evidence: one scheduler's recent observations of each worker, and the report that summarizes them.
 
-Pure; time is passed in. A worker's evidence is good (it answered at all), bad (connection refused or reset,
-an error, or no answer to a request within ACCEPT_TIMEOUT_MS), or none once it is older than
+Pure; time is passed in. Evidence on a worker is good (it answered, whatever the answer) or bad (connection
+refused or reset, an error, or no answer to a request within ACCEPT_TIMEOUT_MS). It expires after
 GOOD_EVIDENCE_MAX_AGE_MS or BAD_EVIDENCE_MAX_AGE_MS. Bounds: MAX_WORKERS workers, MAX_UNANSWERED_REQUESTS per
-worker, MAX_REPORTED_WORKERS of each kind per zone, MAX_ZONES zones, MAX_REPORT_BYTES per report.
+worker, MAX_REPORTED_WORKERS good and as many bad workers per zone, MAX_ZONES zones, MAX_REPORT_BYTES per
+report.
 """
 
 from __future__ import annotations
@@ -17,34 +18,31 @@
 
 from spanwing.interface import Worker
 
-MAX_REPORT_GAP_MS = 1000.0  # longest gap between two own reports
-ACCEPT_TIMEOUT_MS = 500.0  # a live worker accepts or rejects a request within this
-GOOD_EVIDENCE_MAX_AGE_MS, BAD_EVIDENCE_MAX_AGE_MS = (
-    800.0,
-    5000.0,
-)  # age at which evidence is dropped: good evidence is soon renewed, bad evidence
-# has to outlast the change of a leader that is lost together with the zone
+MAX_REPORT_GAP_MS = 1000.0  # a longer gap between two reports shows that this process was stalled
+ACCEPT_TIMEOUT_MS = 500.0  # a healthy worker accepts or rejects a request within this
+# Good evidence is renewed often. Bad evidence has to last until another member has taken over the leadership,
+# in case the leader failed together with the zone.
+GOOD_EVIDENCE_MAX_AGE_MS, BAD_EVIDENCE_MAX_AGE_MS = (800.0, 5000.0)
 MAX_WORKERS, MAX_UNANSWERED_REQUESTS, MAX_REPORTED_WORKERS, MAX_ZONES = 4096, 64, 24, 32
-CONNECT_FAILURE_WINDOW_MS = 200.0  # less than any connect timeout; others must have answered within it
-FAULT_PROBE_INTERVAL_MS, PROBES_INSIDE_ZONE, PROBES_OUTSIDE_ZONE = (
-    500.0,
-    3,
-    2,
-)  # on a fault: probes per round, one round per interval
+# A failed connection is bad evidence only if another zone answered within this; shorter than any connect
+# timeout.
+CONNECT_FAILURE_WINDOW_MS = 200.0
+# After a fault: one round of probes per interval, to this many workers inside and outside the zone.
+FAULT_PROBE_INTERVAL_MS, PROBES_INSIDE_ZONE, PROBES_OUTSIDE_ZONE = (500.0, 3, 2)
 MAX_REPORT_BYTES = 8192
 
 
 class ZoneEvidence(msgspec.Struct, array_like=True):
-    """Evidence on one zone: workers by the last 16 bits of their id, and slots."""
+    """One scheduler's evidence on one zone; workers are given as short ids (short_worker_id())."""
 
     healthy_workers: list[int]
     faulty_workers: list[int]
-    slots_in_flight: float = 0.0  # slots of this scheduler's requests there
-    idle_slots: float = 0.0  # slots believed idle at owned workers
+    slots_in_flight: float = 0.0  # slots that this scheduler's requests use there
+    idle_slots: float = 0.0  # estimate of idle slots at workers that this scheduler owns
 
 
 class EvidenceReport(msgspec.Struct, array_like=True):
-    """The evidence that goes with a renewal."""
+    """The evidence by zone that a scheduler sends with a renewal."""
 
     zones: dict[str, ZoneEvidence]
 
@@ -58,9 +56,9 @@
 
 
 def decode_report(payload: bytes) -> EvidenceReport:
-    """Decodes a report. Raises ValueError if it is malformed or beyond the bounds."""
+    """Decodes a report. Raises ValueError if it is malformed or exceeds a bound."""
     if len(payload) > MAX_REPORT_BYTES:
-        raise ValueError(f"{len(payload)} bytes of evidence, {MAX_REPORT_BYTES} at most")
+        raise ValueError(f"{len(payload)} bytes in an evidence report; {MAX_REPORT_BYTES} are allowed")
     report = REPORT_DECODER.decode(payload)
     for zone_evidence in report.zones.values():
         if max(
@@ -68,21 +66,22 @@
         ) > MAX_REPORTED_WORKERS or not all(
             0 <= each <= 0xFFFF for each in (*zone_evidence.healthy_workers, *zone_evidence.faulty_workers)
         ):
-            raise ValueError("words beyond their bounds")
+            raise ValueError("evidence report: too many workers, or a short id outside 0 to 65535")
         if not (0 <= zone_evidence.slots_in_flight < math.inf and 0 <= zone_evidence.idle_slots < math.inf):
-            raise ValueError("slots beyond their bounds")
+            raise ValueError("evidence report: slots are negative or not finite")
     if len(report.zones) > MAX_ZONES:
-        raise ValueError(f"{len(report.zones)} zones, {MAX_ZONES} at most")
+        raise ValueError(f"{len(report.zones)} zones in an evidence report; {MAX_ZONES} are allowed")
     return report
 
 
 def choose_workers_to_probe(
-    zone: str, workers: Iterable[Worker], random: Random, own_zone: str = ""
+    zone: str, workers: Iterable[Worker], random_source: Random, own_zone: str = ""
 ) -> list[int]:
-    """Returns at random the workers to probe on a fault in a zone.
+    """Returns randomly chosen healthy workers to probe after a fault in a zone.
 
-    PROBES_INSIDE_ZONE of the zone, and PROBES_OUTSIDE_ZONE of others so that this scheduler's evidence is
-    credible; workers of its own zone serve for these only where there is no third zone.
+    These are up to PROBES_INSIDE_ZONE workers of the zone, and up to PROBES_OUTSIDE_ZONE of other zones,
+    without which this scheduler's evidence may not be credible. Workers of the scheduler's own zone serve as
+    the latter only if there is no third zone.
     """
     in_zone, in_other_zones, in_own_zone = [], [], []
     for each in workers:
@@ -91,26 +90,28 @@
                 in_zone if each.zone == zone else in_own_zone if each.zone == own_zone else in_other_zones
             ).append(each.id)
     in_other_zones = in_other_zones or in_own_zone
-    return random.sample(in_zone, min(PROBES_INSIDE_ZONE, len(in_zone))) + random.sample(
+    return random_source.sample(in_zone, min(PROBES_INSIDE_ZONE, len(in_zone))) + random_source.sample(
         in_other_zones, min(PROBES_OUTSIDE_ZONE, len(in_other_zones))
     )
 
 
 @dataclass(slots=True)
 class WorkerObservation:
-    """What was seen of one worker."""
+    """The latest observations of one worker; times are in ms."""
 
     zone: str
     last_good_ms: float = -math.inf
     last_bad_ms: float = -math.inf
-    last_failed_request_ms: float = -math.inf  # a request there failed
-    unanswered_since_ms: dict[tuple[str, int], float] = field(default_factory=dict)  # by attempt: sent at
+    last_failed_request_ms: float = -math.inf  # when a request, not a probe, last failed there
+    unanswered_since_ms: dict[tuple[str, int], float] = field(
+        default_factory=dict
+    )  # by attempt: when it was sent
 
     def is_healthy(self, now: float, last_good_elsewhere: float = math.inf) -> bool | None:
-        """Returns True for good evidence, False for bad, None for none lately.
+        """Returns True if the evidence is good, False if it is bad, None if there is none or it has expired.
 
-        last_good_elsewhere: when another zone last gave good evidence. While all zones are silent, the
-        network between or this process itself is stalled, and silence is not held against the worker.
+        last_good_elsewhere: when there last was good evidence on another zone. If all zones are silent, the
+        network or this process is stalled, so silence does not count as bad evidence.
         """
         last_bad = self.last_bad_ms
         for sent_at in self.unanswered_since_ms.values():
@@ -127,21 +128,21 @@
 
 
 class EvidenceCollector:
-    """Collects evidence from the results of attempts and probes."""
+    """Collects evidence from the results of attempts and probes, and builds the reports."""
 
     def __init__(self, own_zone: str = "") -> None:
-        """own_zone: this scheduler's zone."""
+        """Creates a collector without evidence. own_zone: this scheduler's zone."""
         self.own_zone = own_zone
         self.observations: dict[int, WorkerObservation] = {}
         self.last_report_ms = -math.inf
-        self.last_good_remote_ms = -math.inf  # last good evidence of a remote zone
-        self.last_good_by_zone: dict[str, float] = {}  # last good evidence by zone
+        self.last_good_remote_ms = -math.inf  # last good evidence on a zone other than own_zone
+        self.last_good_by_zone_ms: dict[str, float] = {}
 
     def _observation(self, worker: int, zone: str) -> WorkerObservation:
         observation = self.observations.get(worker)
         if observation is None:
             if len(self.observations) >= MAX_WORKERS:
-                del self.observations[next(iter(self.observations))]  # the oldest
+                del self.observations[next(iter(self.observations))]  # the first recorded
             observation = self.observations[worker] = WorkerObservation(zone)
         observation.zone = zone
         return observation
@@ -149,27 +150,28 @@
     def _record_good(self, now: float, observation: WorkerObservation) -> None:
         if observation.zone != self.own_zone:
             if now - self.last_good_remote_ms > ACCEPT_TIMEOUT_MS:
-                self._discard_if_cut_off(self.evidence_by_zone(now))  # the first good evidence for a while
+                # The first good evidence on a remote zone after a gap.
+                self._discard_if_cut_off(self.evidence_by_zone(now))
             self.last_good_remote_ms = now
-        observation.last_good_ms = self.last_good_by_zone[observation.zone] = now
+        observation.last_good_ms = self.last_good_by_zone_ms[observation.zone] = now
 
     def _last_good_outside(self, zone: str) -> float:
-        """Returns when a zone other than this one last gave good evidence."""
-        return max((at for name, at in self.last_good_by_zone.items() if name != zone), default=-math.inf)
+        """Returns when there last was good evidence on any other zone than this one; -inf: never."""
+        return max(
+            (good_at for name, good_at in self.last_good_by_zone_ms.items() if name != zone),
+            default=-math.inf,
+        )
 
     def _record_bad(self, now: float, observation: WorkerObservation, since: float) -> None:
-        """Records bad evidence for silence since then.
-
-        It counts only if another zone has answered meanwhile.
-        """
+        """Records bad evidence if any other zone has answered since this time."""
         if self._last_good_outside(observation.zone) >= since:
             observation.last_bad_ms = now
 
     def _discard_if_cut_off(self, evidence: dict[str, ZoneEvidence]) -> None:
-        """Drops evidence on remote zones if this scheduler is cut off from them.
+        """Drops bad evidence and unanswered requests of remote zones if this scheduler is cut off from them.
 
-        It is if it sees two or more other zones and nothing good in any: what it saw until now is no
-        evidence, least of all once it is connected again.
+        That is the case if it has evidence on two or more remote zones and none of it is good. The fault is
+        then its own connection, and this evidence must not count once it is connected again.
         """
         remote_zones = [name for name in evidence if name != self.own_zone]
         if len(remote_zones) > 1 and not any(evidence[name].healthy_workers for name in remote_zones):
@@ -181,13 +183,17 @@
                 del evidence[name]
 
     def attempt_sent(self, now: float, worker: int, zone: str, attempt: tuple[str, int]) -> None:
-        """Records that an attempt was sent and is unanswered."""
+        """Records that an attempt was sent. Ignored beyond MAX_UNANSWERED_REQUESTS of the worker."""
         observation = self._observation(worker, zone)
         if len(observation.unanswered_since_ms) < MAX_UNANSWERED_REQUESTS:
             observation.unanswered_since_ms[attempt] = now
 
     def attempt_accepted(self, now: float, worker: int, attempt: tuple[str, int]) -> None:
-        """Records that a worker accepted an attempt; after ACCEPT_TIMEOUT_MS that counts as silence."""
+        """Records that a worker accepted an attempt.
+
+        Within ACCEPT_TIMEOUT_MS that is good evidence. Later the worker counts as having been silent, which
+        is bad evidence if another zone has answered meanwhile.
+        """
         observation = self.observations.get(worker)
         if observation is not None:
             sent_at = observation.unanswered_since_ms.pop(attempt, now)
@@ -197,7 +203,7 @@
                 self._record_bad(now, observation, sent_at + ACCEPT_TIMEOUT_MS / 2)
 
     def attempt_ended(self, now: float, worker: int, attempt: tuple[str, int], result: str) -> bool:
-        """Records how an attempt ended; returns whether that is the fault of a worker not known as bad."""
+        """Records how an attempt ended; returns whether it failed at a worker without bad evidence so far."""
         observation = self.observations.get(worker)
         if observation is None:
             return False
@@ -217,18 +223,17 @@
         elif (
             sent_at is not None and now - sent_at >= ACCEPT_TIMEOUT_MS and observation.last_good_ms < sent_at
         ):
-            self._record_bad(
-                now, observation, sent_at + ACCEPT_TIMEOUT_MS / 2
-            )  # cancelled here after its time to answer
+            # Cancelled by this scheduler after the worker should have answered.
+            self._record_bad(now, observation, sent_at + ACCEPT_TIMEOUT_MS / 2)
         return False
 
     def probe_finished(
         self, now: float, worker: int, zone: str, result: str, is_fault_probe: bool = False
     ) -> bool:
-        """Records how a probe ended; returns whether that is the fault of a worker not known as bad.
+        """Records how a probe ended; returns whether it failed at a worker without bad evidence so far.
 
-        is_fault_probe: the probe was sent on a fault in its zone. A worker that fails requests may well
-        answer probes, so such an answer is not good evidence.
+        is_fault_probe: the probe was sent because of a fault in its zone. Its answer is no good evidence, as
+        a worker that fails requests may still answer probes.
         """
         observation = self._observation(worker, zone)
         if result != "ok":
@@ -240,53 +245,57 @@
         return False
 
     def worker_health(self, now: float, worker: int) -> bool | None:
-        """Returns True for good evidence on a worker, False for bad, None for none lately."""
-        sight = self.observations.get(worker)
-        return None if sight is None else sight.is_healthy(now, self._last_good_outside(sight.zone))
+        """Returns True if the evidence on a worker is good, False if it is bad, None if there is none."""
+        observation = self.observations.get(worker)
+        return (
+            None
+            if observation is None
+            else observation.is_healthy(now, self._last_good_outside(observation.zone))
+        )
 
     def evidence_by_zone(self, now: float) -> dict[str, ZoneEvidence]:
-        """Returns the evidence on each zone as it would be reported now."""
-        found: dict[str, ZoneEvidence] = {}
+        """Returns the evidence on each zone that has not expired, without slots."""
+        evidence: dict[str, ZoneEvidence] = {}
         last_good_elsewhere = {
             zone: self._last_good_outside(zone) for zone in {each.zone for each in self.observations.values()}
         }
         for worker, observation in self.observations.items():
             is_healthy = observation.is_healthy(now, last_good_elsewhere[observation.zone])
             if is_healthy is not None:
-                zone_evidence = found.setdefault(observation.zone, ZoneEvidence([], []))
+                zone_evidence = evidence.setdefault(observation.zone, ZoneEvidence([], []))
                 target = zone_evidence.healthy_workers if is_healthy else zone_evidence.faulty_workers
                 if len(target) < MAX_REPORTED_WORKERS:
                     target.append(short_worker_id(worker))
-        return found
+        return evidence
 
     def build_report(self, now: float, slots: Iterable[tuple[str, float, float]] = ()) -> EvidenceReport:
         """Builds the report for a renewal.
 
-        slots: zone, slots in flight and idle slots, one item per worker or for several. Expected several
-        times a second: after a gap above MAX_REPORT_GAP_MS this process was stopped or stalled itself, and
-        silence until now says nothing about a worker.
+        slots: zone, slots in flight and idle slots, any number of items per zone, which are added up. To be
+        called several times a second: a gap above MAX_REPORT_GAP_MS means that this process was stopped or
+        stalled, so silence until now says nothing about a worker.
         """
         if now - self.last_report_ms > MAX_REPORT_GAP_MS:
             for observation in self.observations.values():
                 observation.unanswered_since_ms.clear()
         self.last_report_ms = now
-        found = self.evidence_by_zone(now)
-        if len(found) > 1 and not any(words.healthy_workers for words in found.values()):
-            # A scheduler that sees all zones as bad is cut off itself: its evidence until now is void.
+        evidence = self.evidence_by_zone(now)
+        if len(evidence) > 1 and not any(each.healthy_workers for each in evidence.values()):
+            # A scheduler with bad evidence on all zones is itself cut off: it discards this evidence.
             for observation in self.observations.values():
                 observation.last_bad_ms = -math.inf
                 observation.unanswered_since_ms.clear()
-            found = {}
-        self._discard_if_cut_off(found)
+            evidence = {}
+        self._discard_if_cut_off(evidence)
         for zone, in_flight, idle in slots:
-            words = found.setdefault(zone, ZoneEvidence([], []))
-            words.slots_in_flight, words.idle_slots = (
-                words.slots_in_flight + in_flight,
-                words.idle_slots + idle,
+            zone_evidence = evidence.setdefault(zone, ZoneEvidence([], []))
+            zone_evidence.slots_in_flight, zone_evidence.idle_slots = (
+                zone_evidence.slots_in_flight + in_flight,
+                zone_evidence.idle_slots + idle,
             )
-        for words in found.values():
-            words.slots_in_flight, words.idle_slots = (
-                round(words.slots_in_flight, 1),
-                round(words.idle_slots, 1),
+        for zone_evidence in evidence.values():
+            zone_evidence.slots_in_flight, zone_evidence.idle_slots = (
+                round(zone_evidence.slots_in_flight, 1),
+                round(zone_evidence.idle_slots, 1),
             )
-        return EvidenceReport(dict(sorted(found.items())[:MAX_ZONES]))
+        return EvidenceReport(dict(sorted(evidence.items())[:MAX_ZONES]))
--- a/spanwing/zones/failure_detector.py
+++ b/spanwing/zones/failure_detector.py
@@ -1,9 +1,9 @@
-"""Detects a failed zone, and tells it from a cut-off scheduler, a few bad workers or a full zone.
+"""Detects a failed zone, as distinct from a cut-off scheduler, a few bad workers or a full zone.
 
-Pure. The rule (docs/design/zones.md has the reasons): all credible observers of one zone together have one
-vote on a worker; a worker is down if more zones call it bad than good. A zone has failed if two thirds of
-its workers are down, at most a sixth are seen good, and enough observers agree, from two zones where
-schedulers of two are in contact. An observer that is itself cut off does not count.
+Pure. All credible observers in one zone together have one vote on a worker, and a worker is down if more
+zones vote it bad than good. A zone has failed if two thirds of its workers are down, at most a sixth are
+good, and enough observers agree, from at least two zones if there are observers in two. An observer that is
+itself cut off does not count. docs/design/zones.md has the reasons for these rules.
 """
 
 from __future__ import annotations
@@ -15,31 +15,32 @@
 
 from spanwing.zones.evidence import ZoneEvidence
 
-DOWN_FRACTION, MAX_GOOD_FRACTION, MIN_GOOD_INSIDE_FRACTION = (
-    2 / 3,
-    1 / 6,
-    1 / 3,
-)  # fractions of a zone's workers
+# Fractions of a zone's workers: down, at most good in a failed zone, and good from inside in a cut-off zone.
+DOWN_FRACTION, MAX_GOOD_FRACTION, MIN_GOOD_INSIDE_FRACTION = (2 / 3, 1 / 6, 1 / 3)
 MAX_REQUIRED_OBSERVERS = 5
-MIN_SAMPLE_WORKERS = 3  # workers that stand for a whole zone if is_sampled
+MIN_SAMPLE_WORKERS = 3  # fewest workers with evidence that represent a zone if is_sampled
 Finding = Literal["failed", "cut", "well", "unknown"]
 
 
 class Observer(NamedTuple):
-    """A scheduler in contact, and its evidence by zone."""
+    """A scheduler that holds a lease: its zone, and its evidence by zone."""
 
     zone: str
     evidence: Mapping[str, ZoneEvidence]
 
 
 class ZoneVerdict(NamedTuple):
-    """The verdict on one zone."""
+    """The verdict on one zone, and the counts that led to it.
+
+    finding: "failed"; "cut" if schedulers in the zone see its workers as good while those of two other zones
+    see them as down; "well"; or "unknown".
+    """
 
     finding: Finding
     down_workers: int
     good_workers: int
     known_workers: int
-    agreeing_observers: int  # observers that see the zone as down
+    agreeing_observers: int  # credible observers with more bad than good workers in the zone
 
     def __str__(self) -> str:
         return (
@@ -49,23 +50,27 @@
 
 
 def is_credible(zone: str, observer: Observer) -> bool:
-    """Returns whether the observer's evidence counts: it sees other zones good, also remote ones if any."""
+    """Returns whether the observer's evidence on this zone counts.
+
+    It does if the observer sees a good worker in another zone; if it has evidence on remote zones other than
+    this one, one of them must have a good worker.
+    """
     others = {
-        name: words
-        for name, words in observer.evidence.items()
-        if name != zone and (words.healthy_workers or words.faulty_workers)
+        name: evidence
+        for name, evidence in observer.evidence.items()
+        if name != zone and (evidence.healthy_workers or evidence.faulty_workers)
     }
-    if not any(words.healthy_workers for words in others.values()):
+    if not any(evidence.healthy_workers for evidence in others.values()):
         return False
-    remote_evidence = [words for name, words in others.items() if name != observer.zone]
-    return not remote_evidence or any(words.healthy_workers for words in remote_evidence)
+    remote_evidence = [evidence for name, evidence in others.items() if name != observer.zone]
+    return not remote_evidence or any(evidence.healthy_workers for evidence in remote_evidence)
 
 
 def required_observers(scheduler_count: int, observer_count: int) -> int:
-    """Returns how many observers have to agree.
+    """Returns how many observers have to agree that a zone is down.
 
-    One is never enough where there are more than two schedulers; of many it is a third, up to
-    MAX_REQUIRED_OBSERVERS, but at most all but one of those in contact.
+    This is a third of the configured schedulers, at most MAX_REQUIRED_OBSERVERS, and at most all but one of
+    the observers; but never less than two with more than two schedulers, and never less than one.
     """
     minimum = max(1, min(2, scheduler_count - 1))
     return max(minimum, min(MAX_REQUIRED_OBSERVERS, math.ceil(scheduler_count / 3), observer_count - 1))
@@ -78,16 +83,16 @@
     scheduler_count: int,
     is_sampled: bool = False,
 ) -> ZoneVerdict:
-    """Computes the verdict on a zone from all evidence.
+    """Computes the verdict on a zone from the evidence of all observers.
 
     worker_ids: all workers of the zone, as short ids. scheduler_count: configured schedulers, up or down;
-    where there are more than two, one alone is never enough. is_sampled: the observers cannot know all
-    workers, and those with evidence stand for all if there are at least MIN_SAMPLE_WORKERS.
+    with more than two, one observer alone is never enough. is_sampled: the observers cannot see all workers,
+    so the workers with evidence represent the zone if there are at least MIN_SAMPLE_WORKERS, or all workers.
     """
     known_workers, good_inside = set(worker_ids), Counter[int]()
     votes_by_zone: dict[str, Counter[int]] = defaultdict(
         Counter
-    )  # by the observers' zone: good minus bad evidence
+    )  # by the observers' zone and worker: observers that see it good, minus those that see it bad
     credible_observers, agreeing_observers, agreeing_zones = 0, 0, set[str]()
     for each in observers:
         zone_evidence = each.evidence.get(zone)
@@ -103,8 +108,8 @@
         if len(zone_evidence.faulty_workers) > len(zone_evidence.healthy_workers):
             agreeing_observers += 1
             agreeing_zones.add(each.zone)
-    # A cut link between two zones makes many schedulers of one zone report bad evidence, which lasts longer
-    # than the good evidence of all others: so zones are counted, not schedulers.
+    # A cut link between two zones makes many schedulers of one zone report bad evidence, and bad evidence
+    # outlasts the good evidence of all others. Counting zones instead of schedulers prevents a false verdict.
     zones_calling_bad, zones_calling_good = Counter[int](), Counter[int]()
     for vote in votes_by_zone.values():
         zones_calling_bad.update(worker for worker, count in vote.items() if count < 0)
@@ -122,7 +127,8 @@
     good_count = sum(
         zones_calling_good[worker] >= max(1, zones_calling_bad[worker]) for worker in known_workers
     )
-    # Schedulers of one zone may be cut off together, with older good evidence on others still counting.
+    # The schedulers of one zone may be cut off together while their good evidence on other zones, which is
+    # older, still counts: so two zones have to agree.
     required_zones = min(2, len({each.zone for each in observers}))
     is_agreed = (
         agreeing_observers >= required_observers(scheduler_count, len(observers))
