--- a/spanwing/zones/service.py
+++ b/spanwing/zones/service.py
@@ -1,13 +1,14 @@
-"""The zones in the scheduler process: follower, routing filter and evidence collector around the core.
+"""The zone service of a scheduler process: connects the zone agent to the document and the request manager.
 
-At a member of the store it also runs the zone controller. Nothing in the core waits for this service: the
-core calls may_forward(), which reads one local structure. Changes reach the scheduler as watch events of
-workers, and the log as one event per zone.
+At a member of the store it also runs the zone controller. The request manager never waits for this service:
+it calls may_forward(), which reads a precomputed local structure. Changes reach the decision module as watch
+events of workers, and the log as one event per changed zone.
 
-Probes: one worker of an open zone about every second; at a zone that is not open, PROBES_PER_WORKER_S to
-each worker by all schedulers together; on a fault in an open zone at most five per FAULT_PROBE_INTERVAL_MS,
-and as many, with one trial request per zone named, when the leader asks. Idempotent requests in flight
-to a zone that is left are recalled at random within RECALL_SPREAD_S.
+Probes: one worker of an open zone about every second; in a zone that is not open, PROBES_PER_WORKER_PER_S to
+each worker by all schedulers together; after a fault in an open zone at most five per
+FAULT_PROBE_INTERVAL_MS. When the leader asks, as many for each zone it names, and one trial request. When a
+zone is left, attempts of idempotent requests in flight there are cancelled, each after a random delay of up
+to MAX_CANCEL_DELAY_S.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 from spanwing.store.messages import OrderResult
 from spanwing.store.peer import PeerListener
 from spanwing.store.store import Store
-from spanwing.zones import trial_requests as trial
+from spanwing.zones import trial_requests
 from spanwing.zones.agent import ZoneAgent
 from spanwing.zones.controller import ListedWorker, ZoneController, ZoneLimits, ZoneOrder
 from spanwing.zones.routing_filter import MAX_TRANSIT_MS, RoutingRules
@@ -43,13 +44,13 @@
 from spanwing.zones.unreachable_work import ZoneUnreachable
 
 TIMER_INTERVAL_S = 0.05
-RECALL_SPREAD_S = 1.0
+MAX_CANCEL_DELAY_S = 1.0
 UNREACHABLE_CHECK_INTERVAL_S = 0.25
-PROBE_RESULT_DELAY_S = 0.1  # after the probes were sent
+PROBE_RESULT_DELAY_S = 0.1  # from sending probes to reporting their results
 
 
 class ZoneSettings(Protocol):
-    """The checked table of the operator's file; without members each scheduler is standalone."""
+    """The validated [zones] table of the operator's file; without members, each scheduler is standalone."""
 
     members: dict[str, Address]
     regions: dict[str, tuple[str, ...]]
@@ -57,7 +58,7 @@
 
 
 class DocumentConnection(Protocol):
-    """A follower of the fleet's document that runs before the core exists."""
+    """A running follower of the fleet's document, as the policy service starts it before the zones."""
 
     follower: DocumentFollower
     document_service: DocumentService | None
@@ -67,7 +68,7 @@
 
 
 class StandaloneFollower:
-    """Takes the place of a DocumentFollower in standalone mode."""
+    """Replaces the DocumentFollower in standalone mode: evaluates the evidence in this process."""
 
     connected_member, last_failure = "itself", ""
 
@@ -92,7 +93,7 @@
         return self.controller.document
 
     def renew_now(self) -> None:
-        """Does nothing: the evidence is evaluated every EVALUATION_INTERVAL_MS anyway."""
+        """Does nothing, since the evidence is evaluated every EVALUATION_INTERVAL_MS anyway."""
 
     async def submit_order(self, order: ZoneOrder) -> OrderResult:
         """Carries out an operator's order; returns its result."""
@@ -104,7 +105,7 @@
         return OrderResult(0, True, text)
 
     async def run(self) -> None:
-        """Evaluates the evidence every EVALUATION_INTERVAL_MS, to the end of the program."""
+        """Evaluates the evidence every EVALUATION_INTERVAL_MS until the process ends."""
         while True:
             await sleep(EVALUATION_INTERVAL_MS / 1000.0)
             if self.controller.evaluate(clock_ms(), self.collect_evidence()):
@@ -114,7 +115,7 @@
 
 
 class ZoneService:
-    """One scheduler's part in the fleet's zones."""
+    """Follows the fleet's zones and applies them to the request manager of one scheduler process."""
 
     def __init__(
         self,
@@ -125,7 +126,11 @@
         seed: int,
         connection: DocumentConnection | None = None,
     ) -> None:
-        """connection: a follower that runs already, with its other listeners; None: start one here."""
+        """Creates the service and registers it with the request manager.
+
+        seed: of the random stream for probes and cancel delays. connection: a follower that is already
+        running; None: start() starts one.
+        """
         settings = request_manager.settings
         self.name, self.zone_settings, self.request_manager, self.random_source = (
             name,
@@ -139,7 +144,7 @@
 
         def probe_zones(zones: tuple[str, ...]) -> None:
             self._probe_workers(self.agent.choose_workers_to_probe(zones))
-            trial.start_trials(
+            trial_requests.start_trials(
                 self.request_manager.scheduler,
                 self.agent.choose_trial_workers(clock_ms(), zones),
                 self.request_manager.clock.now_ms(),
@@ -193,7 +198,7 @@
             self._handle_document_change(self.follower.document)
 
     def serve_as_member(self, store: Store, listener: PeerListener) -> None:
-        """Serves as a member of the store, whose controller decides while this member leads."""
+        """Runs the zone controller at this member of the store; it decides while this member leads."""
         controller = self._create_controller(store.member)
         if self.connection is not None:
             self.document_service = self.connection.document_service
@@ -214,7 +219,7 @@
         return ZoneController(limits, self._list_workers, lambda: time.time() * 1000.0, author)
 
     def start(self) -> None:
-        """Starts the background tasks; they run to the end of the program."""
+        """Starts the background tasks, which run until the process ends."""
         if self.connection is None:
             spawn_task(self.follower.run())
             if self.document_service is not None:
@@ -223,12 +228,13 @@
         if self.request_manager.settings.probes:
             spawn_task(self._run_background_probes())
 
-    # -- called by the core
+    # -- called by the request manager
 
     def may_forward(self, worker: int) -> bool:
-        """Returns whether a request may be sent to this worker now.
+        """Returns whether a request may be forwarded to this worker now.
 
-        Called before an attempt is handed to the connection, and again before its last byte is written.
+        The request manager asks before it hands an attempt to a connection, and again before the attempt's
+        last byte is written.
         """
         now = clock_ms()
         return self.agent.routing_filter.may_forward(
@@ -236,7 +242,7 @@
         )
 
     def filter_workers(self, endpoint_list: api.WorkerList) -> api.WorkerList:
-        """Returns the watch event with the workers as the scheduler is to see them."""
+        """Returns the watch event for the decision module, with workers filtered by the zones."""
         now = clock_ms()
         self.announced_lease = self.follower.lease.is_valid(now)
         return self.agent.filter_workers(
@@ -252,15 +258,15 @@
         self.agent.evidence_collector.attempt_accepted(clock_ms(), worker, attempt)
 
     def attempt_ended(self, worker: int, attempt: tuple[str, int], result: str) -> None:
-        """Records how an attempt ended, and probes workers if that was a fault."""
+        """Records how an attempt ended, and probes workers if it ended in a fault."""
         self._probe_workers(self.agent.attempt_ended(clock_ms(), worker, attempt, result))
 
     def probe_finished(self, worker: int, result: str) -> None:
-        """Records how a probe ended, and probes workers if that was a fault."""
+        """Records how a probe ended, and probes more workers if it ended in a fault."""
         self._probe_workers(self.agent.probe_finished(clock_ms(), worker, result))
 
     def _probe_workers(self, workers: list[int]) -> None:
-        """Probes these workers, and renews PROBE_RESULT_DELAY_S later to report the results."""
+        """Probes these workers, and reports the results with a renewal after PROBE_RESULT_DELAY_S."""
         if not workers:
             return
         if self.request_manager.settings.probes:
@@ -268,10 +274,10 @@
                 self.request_manager.probe_worker(each)
         IOLoop.current().call_later(PROBE_RESULT_DELAY_S, self.follower.renew_now)
 
-    # -- changes
+    # -- changes of the document, the policy and the lease
 
     def _handle_document_change(self, document: Document) -> None:
-        """Applies a new document; the change is acknowledged once this returns."""
+        """Applies a new document. The follower acknowledges its revision after this returns."""
         previous_zones, fleet = self.agent.fleet, read_fleet_zones(document)
         self.agent.routing_filter.update_zones(fleet, clock_ms(), self.request_manager.clock.now_ms())
         self._announce_changed_workers()
@@ -291,12 +297,12 @@
                 author=zone.author,
             )
             if zone.state == "leaving" and previous.state != "leaving":
-                self._recall_attempts(name)
+                self._cancel_repeatable_attempts(name)
         for key in fleet.unreadable_keys:
             log_event("zones_unread", level="error", key=key)
 
     def _handle_policy_change(self, settings: api.Settings) -> None:
-        """Applies another policy: the slow start of workers and their feeders."""
+        """Applies the settings of a new policy that concern the slow start of workers and their feeders."""
         rules = self.agent.rules._replace(
             slow_start_ms=settings.cold_ms,
             overload_window_ms=settings.fall_ms,
@@ -307,6 +313,7 @@
         self._announce_changed_workers()
 
     def _announce_changed_workers(self) -> None:
+        """Tells the decision module of workers whose use has changed."""
         now = clock_ms()
         self.announced_lease = self.follower.lease.is_valid(now)
         self.next_change_ms = self.agent.routing_filter.next_change_ms(now)
@@ -316,9 +323,10 @@
             self.agent.restart_concurrency_limits(self.request_manager.scheduler)
 
     async def _run_timer(self) -> None:
-        """Applies changes that come without a watch event, every TIMER_INTERVAL_S.
+        """Every TIMER_INTERVAL_S, applies the changes that come with time alone.
 
-        These are the loss or return of the lease and the start of feeding.
+        These are the loss and the return of the lease, and the start of feeding. Every
+        UNREACHABLE_CHECK_INTERVAL_S, also ends work that only an unused zone could still do.
         """
         loop = IOLoop.current()
         announced_lease, unreachable_checked_at = None, 0.0
@@ -338,28 +346,29 @@
                 for name in self.agent.unused_zones():
                     self.request_manager.notify_schedulers(ZoneUnreachable(name))
 
-    def _recall_attempts(self, zone: str) -> None:
-        """Recalls the attempts of idempotent requests in flight to a zone.
+    def _cancel_repeatable_attempts(self, zone: str) -> None:
+        """Cancels the attempts of idempotent requests in flight to a zone that may no longer be used.
 
-        Each is cancelled at random within RECALL_SPREAD_S, which spreads the work of all schedulers.
+        Each is cancelled after a random delay of up to MAX_CANCEL_DELAY_S, so that the schedulers do not all
+        send their requests elsewhere at once.
         """
         loop = IOLoop.current()
         for (request, number), attempt in list(self.request_manager.in_flight.items()):
             entry = self.agent.routing_filter.workers.get(attempt.worker)
             if entry is not None and entry.zone == zone and not self.may_forward(attempt.worker):
                 loop.call_later(
-                    self.random_source.uniform(0.0, RECALL_SPREAD_S),
+                    self.random_source.uniform(0.0, MAX_CANCEL_DELAY_S),
                     self.request_manager.cancel_repeatable,
                     request,
                     number,
                 )
 
-    # -- evidence
+    # -- evidence and the endpoint list
 
     def _collect_evidence(self) -> bytes:
-        module = self.request_manager.scheduler
+        decision_module = self.request_manager.scheduler
         return msgspec.json.encode(
-            self.agent.build_evidence_report(clock_ms(), module.views.values(), module.now)
+            self.agent.build_evidence_report(clock_ms(), decision_module.views.values(), decision_module.now)
         )
 
     async def _run_background_probes(self) -> None:
@@ -369,36 +378,44 @@
                 self.request_manager.probe_worker(worker)
 
     def _list_workers(self) -> dict[str, list[ListedWorker]]:
-        """Returns this process's endpoint list by zone, for the controller."""
-        found: dict[str, list[ListedWorker]] = {}
+        """Returns the workers of this process's endpoint list by zone, for the zone controller."""
+        workers_by_zone: dict[str, list[ListedWorker]] = {}
         now, cold_ms = self.request_manager.clock.now_ms(), self.request_manager.settings.cold_ms
         for each in self.agent.routing_filter.workers.values():
             is_warming_up = each.started > 0 and now < each.started + cold_ms
-            found.setdefault(each.zone, []).append(ListedWorker(each.id, each.started, is_warming_up))
-        return found
+            workers_by_zone.setdefault(each.zone, []).append(
+                ListedWorker(each.id, each.started, is_warming_up)
+            )
+        return workers_by_zone
 
     # -- orders and status
 
-    async def order(self, do: str, name: str, over_s: float) -> str:
-        """Submits an operator's order; returns the answer. Raises ValueError with the reason if rejected."""
-        result = await self.follower.submit_order(ZoneOrder(do, name, over_s, f"operator at {self.name}"))
+    async def order(self, action: str, target: str, duration_s: float) -> str:
+        """Submits an operator's order for a zone or a region, and returns the answer's text.
+
+        action: "leave", "return", "hold" or "release". duration_s: over which a zone is left, 0: at once.
+        Raises ValueError with the reason if the order is rejected.
+        """
+        result = await self.follower.submit_order(
+            ZoneOrder(action, target, duration_s, f"operator at {self.name}")
+        )
         if not result.is_accepted:
             raise ValueError(result.text)
         return result.text
 
     def status(self) -> dict[str, Any]:
-        """Returns all that this scheduler knows of the fleet's zones."""
+        """Returns the state of the zones as this scheduler knows it, for the command line."""
         fleet, has_lease = (
             self.agent.fleet or read_fleet_zones(Document()),
             self.follower.lease.is_valid(clock_ms()),
         )
         evidence = self.agent.evidence_collector.evidence_by_zone(clock_ms())
         workers_by_zone = self.agent.routing_filter.workers_by_zone()
-        zones = {}
+        zones_status = {}
         for name in sorted({*workers_by_zone, *fleet.zones}):
             zone = fleet.get_zone(name)
             zone_evidence = evidence.get(name)
-            zones[name] = {
+            zones_status[name] = {
                 "state": zone.state,
                 "step": zone.step,
                 "steps": RETURN_STEPS,
@@ -415,15 +432,17 @@
                 "used": sum(self.may_forward(each) for each in workers_by_zone.get(name, ())),
             }
         assignment = fleet.feeder_assignment
-        refused = self.document_service.leader.rejected_renewals if self.document_service is not None else 0
+        rejected_renewals = (
+            self.document_service.leader.rejected_renewals if self.document_service is not None else 0
+        )
         return {
-            "refused": refused,
+            "refused": rejected_renewals,
             "contact": has_lease,
             "by": self.follower.connected_member,
             "why": self.follower.last_failure,
             "revision": self.follower.document.revision,
             "session": self.follower.session,
-            "zones": zones,
+            "zones": zones_status,
             "regions": {name: list(each) for name, each in self.zone_settings.regions.items()},
             "deal": None
             if assignment is None
@@ -435,6 +454,6 @@
         }
 
     def history(self) -> list[dict[str, Any]]:
-        """Returns the last MAX_HISTORY_ENTRIES changes of the zones, oldest first."""
+        """Returns the last changes of the zones, at most MAX_HISTORY_ENTRIES, oldest first."""
         entries = self.agent.fleet.history if self.agent.fleet is not None else []
         return [msgspec.structs.asdict(each) for each in entries]
