--- a/spanwing/zones/standalone.py
+++ b/spanwing/zones/standalone.py
@@ -1,9 +1,9 @@
-"""Standalone mode: one scheduler's zones by its own evidence alone, where schedulers may not talk.
+"""Standalone mode: one scheduler judges zones by its own evidence, where schedulers may not communicate.
 
-Pure; time is passed in. The same zone controller, verdict, steps and hold-down as for a fleet, over a
-document of the process's own. A zone fails if two thirds of the workers with evidence, MIN_SAMPLE_WORKERS at
-least, are down and another zone is seen well. There is no feeder assignment: workers that warm up are fed as
-without zones. Bounds: those of the document.
+Pure; time is passed in. The zone controller, verdict, return steps and hold-down are those of a fleet; the
+document is kept in this process. A zone has failed if two thirds of its workers with evidence, of which there
+are at least MIN_SAMPLE_WORKERS, are down and there is good evidence on another zone. There is no feeder
+assignment: workers that are warming up are fed as without zones. Bounds: those of the document.
 """
 
 from __future__ import annotations
@@ -19,21 +19,23 @@
 from spanwing.zones.state import ASSIGNMENT_KEY
 
 EVALUATION_INTERVAL_MS = 50.0
-STANDALONE_LEASE_MS = 10.0 * EVALUATION_INTERVAL_MS  # the own session's, renewed at each evaluation
+STANDALONE_LEASE_MS = (
+    10.0 * EVALUATION_INTERVAL_MS
+)  # of this scheduler's own session, which each evaluation renews
 
 
 class PermanentLease:
-    """A lease that never expires: the document is the process's own."""
+    """A lease that never expires, as the document is kept in this process."""
 
     expires_at_ms = math.inf
 
     def is_valid(self, now: float) -> bool:
-        """Returns True."""
+        """Returns True at any time."""
         return True
 
 
 class StandaloneController:
-    """Leader and follower in one."""
+    """Leader and follower of the document in one process, with the scheduler's session as the only one."""
 
     def __init__(self, session: str, zone: str, controller: ZoneController, now: float) -> None:
         self.session, self.zone, self.controller = session, zone, controller
@@ -43,15 +45,15 @@
         self.zones_to_probe: tuple[str, ...] = ()
 
     def _apply_transaction(self, now: float, transaction: Transaction) -> None:
-        after = self.document.apply(transaction)
-        if after is not None:
-            self.document = after
-            self.leader.handle_change(now, after)
+        changed_document = self.document.apply(transaction)
+        if changed_document is not None:
+            self.document = changed_document
+            self.leader.handle_change(now, changed_document)
 
     def evaluate(self, now: float, evidence: bytes) -> bool:
-        """Takes in this scheduler's evidence; returns whether the document has changed.
+        """Evaluates an encoded evidence report; returns whether the document has changed.
 
-        Sets self.zones_to_probe.
+        Applies at most one change. Sets self.zones_to_probe to the zones that need more evidence.
         """
         previous, self.zones_to_probe = self.document, ()
         renewal = Renew(0, self.session, self.zone, 0, previous.revision, msgspec.Raw(evidence))
@@ -67,7 +69,7 @@
         self.zones_to_probe = self.zones_to_probe or grant.zones_to_probe
 
     def handle_order(self, now: float, order: object) -> str:
-        """Carries out an operator's order; returns the answer. Raises ValueError if rejected."""
+        """Carries out an operator's order; returns the answer's text. Raises ValueError if rejected."""
         transaction, text = self.controller.handle_order(
             now, msgspec.Raw(msgspec.json.encode(order)), self.document, self.leader
         )
--- a/spanwing/zones/state.py
+++ b/spanwing/zones/state.py
@@ -1,7 +1,7 @@
-"""The fleet's zones as stored in the store's document.
+"""The zones as they are stored in the fleet's document.
 
-Pure. What cannot be decoded counts as open, and the reader reports its key. One key per zone, one for the
-feeder assignment, one for the last MAX_HISTORY_ENTRIES changes.
+Pure. The document has one key per zone, one for the feeder assignment and one for the last
+MAX_HISTORY_ENTRIES changes. A zone whose value cannot be decoded counts as open, and its key is reported.
 """
 
 from __future__ import annotations
@@ -23,33 +23,33 @@
 
 
 class ZoneState(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One zone's state; its revision is that of its document entry."""
+    """The state of one zone. Its revision is that of its document entry."""
 
     state: ZonePhase = "open"
-    step: int = 0  # of a return, 1 to RETURN_STEPS
-    share: float = 0.0  # fraction of its workers in use while it is left
+    step: int = 0  # step of a return, 1 to RETURN_STEPS
+    share: float = 0.0  # fraction of its workers in use while it is leaving or left
     used_by_own_zone: bool = msgspec.field(default=False, name="inside")  # by schedulers in this zone
     on_hold: bool = msgspec.field(default=False, name="held")  # only an operator's orders change it
-    failures: int = 0  # in a row; each doubles the hold-down
+    failures: int = 0  # consecutive failures; each doubles the hold-down
     reason: str = ""
     author: str = ""
-    #: Of a return: start of workers' incarnations by short id, wall clock in ms, where known.
+    #: While returning: start of workers by short id, by the wall clock, where known.
     worker_starts_ms: dict[str, float] = msgspec.field(default={}, name="starts")
 
 
 class FeederAssignment(msgspec.Struct, frozen=True):
-    """Which sessions feed workers that warm up in returning zones."""
+    """The sessions that feed workers warming up in returning zones."""
 
     number: int
     sessions: list[str]
     previous_sessions: list[str] = msgspec.field(
         default=[], name="before"
-    )  # of the former assignment, while and after this one is announced
-    in_force: bool = False
+    )  # the sessions of the previous assignment
+    in_force: bool = False  # if not, the assignment is only announced
 
 
 class ZoneHistoryEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One change in the history."""
+    """One change of a zone, as listed in the history; number is the document's revision."""
 
     number: int
     wall_ms: float
@@ -67,7 +67,7 @@
     zones: dict[str, ZoneState]
     revisions: dict[str, int] = msgspec.field(name="numbers")
     feeder_assignment: FeederAssignment | None = msgspec.field(name="deal")
-    assignment_revision: int = msgspec.field(name="deal_number")  # revision of the assignment's last change
+    assignment_revision: int = msgspec.field(name="deal_number")  # of the assignment's last change
     history: list[ZoneHistoryEntry] = msgspec.field(name="past")
     unreadable_keys: tuple[str, ...] = msgspec.field(default=(), name="unread")
 
@@ -85,7 +85,7 @@
 
 
 def read_fleet_zones(document: Document) -> FleetZones:
-    """Decodes the zones of a document; keys that cannot be decoded are in unreadable_keys."""
+    """Decodes the zones of a document; keys whose values cannot be decoded go to unreadable_keys."""
     zones, revisions, unreadable_keys = {}, {}, []
     feeder_assignment, assignment_revision, history = None, 0, []
     for key, entry in document.entries.items():
@@ -109,8 +109,8 @@
 
 
 def admission_order(worker_ids: list[int]) -> list[int]:
-    """Returns a zone's workers in the order of admission, the same at every scheduler."""
-    return sorted(worker_ids, key=lambda each: (mix(each, 104729), each))
+    """Returns a zone's workers in the order in which a return admits them, the same at every scheduler."""
+    return sorted(worker_ids, key=lambda worker_id: (mix(worker_id, 104729), worker_id))
 
 
 @lru_cache(4096)
@@ -120,5 +120,5 @@
 
 
 def choose_feeders(worker: int, sessions: list[str], count: int) -> list[str]:
-    """Returns the sessions that feed this worker: those with the highest hash (rendezvous hashing)."""
-    return nlargest(count, sessions, key=lambda each: (mix(worker, session_hash(each)), each))
+    """Returns the count sessions that feed this worker, chosen by rendezvous hashing."""
+    return nlargest(count, sessions, key=lambda session: (mix(worker, session_hash(session)), session))
--- a/spanwing/zones/trial_requests.py
+++ b/spanwing/zones/trial_requests.py
@@ -1,7 +1,8 @@
-"""Trial requests: evidence on workers that would get no request, when the leader asks for it.
+"""Trial requests: sent on the leader's demand to workers without evidence, which get no requests otherwise.
 
-Pure. One request per worker, of those that arrive within TRIAL_WINDOW_MS, and only an idempotent one with an
-attempt left. What the scheduler allows at a worker (backoff, warm-up budget, free slots) holds here too.
+Pure. Each worker gets one of the requests that arrive within TRIAL_WINDOW_MS: an idempotent one that has not
+been attempted and may be retried. The decision module's limits on a worker (backoff, warm-up budget, free
+slots) apply.
 """
 
 from __future__ import annotations
@@ -11,33 +12,33 @@
 from spanwing.choice import Dispatcher
 from spanwing.state import Job, View
 
-TRIAL_WINDOW_MS = 1000.0  # a worker gets its trial within this, or none
+TRIAL_WINDOW_MS = 1000.0  # a worker gets its trial request within this time or not at all
 
 
 class TrialPlacement:
-    """A placement that the scheduler consults first for each request."""
+    """Places requests at the workers to try; the decision module consults it before its own placement."""
 
     def __init__(self, scheduler: Dispatcher, workers: Iterable[int], now: float) -> None:
         self.scheduler, self.untried_workers, self.ends_at_ms = scheduler, set(workers), now + TRIAL_WINDOW_MS
 
     def __call__(self, job: Job) -> View | None:
-        """Returns a worker still to be tried that can take this request; None: place it as usual."""
+        """Returns an untried worker that can take this request, or None to have it placed as usual."""
         if self.scheduler.now >= self.ends_at_ms or not self.untried_workers:
             self.scheduler.first = None
             return None
         if job.attempts or job.cls.effect != "safe" or self.scheduler.set.max_attempts < 2:
             return None
         for worker in sorted(self.untried_workers):
-            view = self.scheduler.views.get(worker)
-            if view is not None and self.scheduler._fits(view, job):
+            worker_state = self.scheduler.views.get(worker)
+            if worker_state is not None and self.scheduler._fits(worker_state, job):
                 self.untried_workers.discard(worker)
-                return view
+                return worker_state
         return None
 
 
 def start_trials(scheduler: Dispatcher, workers: list[int], now: float) -> None:
-    """Has each of these workers get one request that would have gone elsewhere.
+    """Starts trials: each of these workers gets one request that would have gone to another worker.
 
-    now: ms, by the scheduler's clock. Replaces the trials of an earlier call.
+    now: in ms, by the decision module's clock. Replaces the trials of an earlier call.
     """
     scheduler.first = TrialPlacement(scheduler, workers, now) if workers else None
--- a/spanwing/zones/unreachable_work.py
+++ b/spanwing/zones/unreachable_work.py
@@ -1,7 +1,8 @@
-"""Ends work that only a zone which was left could still do: it fails now, not at its deadline.
+"""Fails requests that only workers in a zone that was left could still run, before their deadline.
 
-Pure. A keyed request of which an attempt may have run in the zone, and whose repeat only that zone's workers
-would drop, fails (no promise as to its effect). Nothing else changes.
+Pure. This concerns requests with an idempotency key of which all attempts that may have run were in the zone,
+as only that zone's workers would drop a repeat. Such a request fails, with no claim about its effect; no
+other request is changed.
 """
 
 from __future__ import annotations
@@ -12,20 +13,21 @@
 
 
 class ZoneUnreachable(NamedTuple):
-    """An event for the scheduler: nothing is sent to this zone any more."""
+    """An event for the decision module: nothing is forwarded to this zone any more."""
 
     zone: str
 
 
 def _fail_unreachable_work(module: Dispatcher, event: ZoneUnreachable) -> None:
+    """Fails the waiting requests that could run only in this zone."""
     if not module.waiting:
         return
     for job in [each for each in module.jobs.values() if each.held and each.cls.effect == "keyed"]:
-        attempts_maybe_run = [each for each in job.attempts if not each.proof]
+        attempts_that_may_have_run = [each for each in job.attempts if not each.proof]
         if (
-            attempts_maybe_run
+            attempts_that_may_have_run
             and job.cls.group != "all"
-            and all(each.view.entry.zone == event.zone for each in attempts_maybe_run)
+            and all(each.view.entry.zone == event.zone for each in attempts_that_may_have_run)
         ):
             module._end(job)
 
