--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Zones left and returned to by a fleet of real processes, with faults between them."""
+"""A fleet of real processes leaves failed zones and returns to them, with faults in between."""
 
 from __future__ import annotations
 
@@ -18,470 +18,482 @@
 from spanwing.workers.worker_id import worker_id_of
 from spanwing.zones.evidence import short_worker_id
 
-OUT = {"leaving", "left"}
-AWAY = {"leaving", "left", "returning"}
+LEAVING_OR_LEFT = {"leaving", "left"}
+NOT_OPEN = {"leaving", "left", "returning"}
 
 
-class Fleets(unittest.TestCase):
-    """Starts a fleet that serves, and looks at its rules in the end."""
+class FleetTestCase(unittest.TestCase):
+    """Starts a fleet under load, and checks at the end that no rule of the fleet was broken."""
 
-    def begin(self, **how) -> Ground:
-        ground = Ground(**how)
-        self.addCleanup(ground.close)
-        ground.until(ground.contact)
-        ground.load(True)
-        # Every zone has been seen by somebody: a verdict needs words.
-        ground.until(lambda: all(self.seen(ground, zone) for zone in ground.zones))
-        return ground
+    def start_fleet(self, **how) -> Ground:
+        fleet = Ground(**how)
+        self.addCleanup(fleet.close)
+        fleet.until(fleet.contact)
+        fleet.load(True)
+        # A verdict needs evidence: some scheduler has good evidence on every zone.
+        fleet.until(lambda: all(self.good_workers_seen(fleet, zone) for zone in fleet.zones))
+        return fleet
 
-    def seen(self, ground: Ground, zone: str) -> int:
+    def good_workers_seen(self, fleet: Ground, zone: str) -> int:
         return sum(
-            ground.zones_of(name)["zones"].get(zone, {}).get("seen_good", 0) for name in ground.reached()
+            fleet.zones_of(name)["zones"].get(zone, {}).get("seen_good", 0) for name in fleet.reached()
         )
 
-    def left(self, ground: Ground, *zones: str) -> None:
+    def wait_until_left(self, fleet: Ground, *zones: str) -> None:
         for zone in zones:
-            ground.until(lambda zone=zone: ground.states(zone) == {"left"})
+            fleet.until(lambda zone=zone: fleet.states(zone) == {"left"})
 
-    def opened(self, ground: Ground, *zones: str) -> None:
+    def wait_until_open(self, fleet: Ground, *zones: str) -> None:
         for zone in zones:
-            ground.until(lambda zone=zone: ground.contact() and ground.states(zone) == {"open"})
-
-    def keeper(self, ground: Ground) -> str:
-        """The member that wrote the last change."""
-        return ground.history()[-1]["author"]
-
-    def end(self, ground: Ground, left: set[str], gone: tuple[str, ...] = ()) -> None:
-        """No rule is broken, and these zones were left and no others."""
-        history = ground.history()
-        ground.settle()
-        self.assertEqual(ground.wrong(gone)[:5], [])
-        self.assertEqual({each["zone"] for each in history if each["state"].split(",")[0] in OUT}, left)
+            fleet.until(lambda zone=zone: fleet.contact() and fleet.states(zone) == {"open"})
+
+    def last_author(self, fleet: Ground) -> str:
+        """Returns the member that wrote the last change."""
+        return fleet.history()[-1]["author"]
+
+    def assert_only_left(self, fleet: Ground, left: set[str], gone: tuple[str, ...] = ()) -> None:
+        """Asserts that no rule was broken and that these zones were left and no others.
+
+        gone: schedulers that were killed.
+        """
+        history = fleet.history()
+        fleet.settle()
+        self.assertEqual(fleet.wrong(gone)[:5], [])
+        self.assertEqual(
+            {each["zone"] for each in history if each["state"].split(",")[0] in LEAVING_OR_LEFT}, left
+        )
         numbers = [each["number"] for each in history]
         self.assertEqual(numbers, sorted(numbers))
 
 
-@pytest.mark.xdist_group("fleets-a")  # each fleet has a dozen processes: three at a time
-class Lost(Fleets):
-    """A zone fails in every way, with its own schedulers alive, dead or cut off."""
+@pytest.mark.xdist_group("fleets-a")  # a fleet has a dozen processes, so at most three fleets run at once
+class FailedZones(FleetTestCase):
+    """A zone fails in different ways, with its own schedulers up, killed or cut off."""
 
     def test_killed(self) -> None:
-        ground = self.begin(seed=1)
-        ground.kill_zone("a")
-        self.left(ground, "a")
-        ground.start_zone("a")
-        self.opened(ground, "a")
-        self.end(ground, {"a"})
+        fleet = self.start_fleet(seed=1)
+        fleet.kill_zone("a")
+        self.wait_until_left(fleet, "a")
+        fleet.start_zone("a")
+        self.wait_until_open(fleet, "a")
+        self.assert_only_left(fleet, {"a"})
 
     def test_killed_with_its_schedulers(self) -> None:
-        ground = self.begin(seed=2)
-        ground.kill("s0", "s3")
-        ground.kill_zone("a")
-        self.left(ground, "a")
-        ground.start("s0")
-        ground.start("s3")
-        ground.start_zone("a")
-        self.opened(ground, "a")
-        self.end(ground, {"a"}, ("s0", "s3"))
+        fleet = self.start_fleet(seed=2)
+        fleet.kill("s0", "s3")
+        fleet.kill_zone("a")
+        self.wait_until_left(fleet, "a")
+        fleet.start("s0")
+        fleet.start("s3")
+        fleet.start_zone("a")
+        self.wait_until_open(fleet, "a")
+        self.assert_only_left(fleet, {"a"}, ("s0", "s3"))
 
     def test_silent_with_its_schedulers_cut_off(self) -> None:
-        ground = self.begin(seed=3)
-        zone = ["s0", "s3", *ground.of_zone("a")]
-        rest = [name for name in (*ground.schedulers, *ground.workers) if name not in zone]
-        cut = ground.links(zone, rest)
-        ground.set(cut, there=False, back=False)
+        fleet = self.start_fleet(seed=3)
+        zone = ["s0", "s3", *fleet.of_zone("a")]
+        rest = [name for name in (*fleet.schedulers, *fleet.workers) if name not in zone]
+        cut = fleet.links(zone, rest)
+        fleet.set(cut, there=False, back=False)
         others = ["s1", "s2", "s4"]
-        ground.until(lambda: ground.states("a", others) <= OUT)
-        ground.until(lambda: not ground.contact(["s0"]) and not ground.contact(["s3"]))
-        ground.set(cut)
-        self.opened(ground, "a")
-        self.end(ground, {"a"})
+        fleet.until(lambda: fleet.states("a", others) <= LEAVING_OR_LEFT)
+        fleet.until(lambda: not fleet.contact(["s0"]) and not fleet.contact(["s3"]))
+        fleet.set(cut)
+        self.wait_until_open(fleet, "a")
+        self.assert_only_left(fleet, {"a"})
 
     def test_silent(self) -> None:
-        ground = self.begin(seed=4)
-        ground.stop(*ground.of_zone("a"))
-        self.left(ground, "a")
-        ground.go_on(*ground.of_zone("a"))
-        self.opened(ground, "a")
-        self.end(ground, {"a"})
-
-    def test_late_by_two_seconds(self) -> None:
-        ground = self.begin(seed=5)
-        links = ground.links(ground.schedulers, ground.of_zone("b"))
-        ground.set(links, slow_s=2.0)
-        self.left(ground, "b")
-        ground.set(links)
-        self.opened(ground, "b")
-        self.end(ground, {"b"})
+        fleet = self.start_fleet(seed=4)
+        fleet.stop(*fleet.of_zone("a"))
+        self.wait_until_left(fleet, "a")
+        fleet.go_on(*fleet.of_zone("a"))
+        self.wait_until_open(fleet, "a")
+        self.assert_only_left(fleet, {"a"})
+
+    def test_slow_by_two_seconds(self) -> None:
+        fleet = self.start_fleet(seed=5)
+        links = fleet.links(fleet.schedulers, fleet.of_zone("b"))
+        fleet.set(links, slow_s=2.0)
+        self.wait_until_left(fleet, "b")
+        fleet.set(links)
+        self.wait_until_open(fleet, "b")
+        self.assert_only_left(fleet, {"b"})
 
     def test_failing_fast(self) -> None:
-        ground = self.begin(seed=6)
-        ground.how("c", "failing")
-        self.left(ground, "c")
-        followed = time.time()
-        ground.until(lambda: self.seen(ground, "a") > 0)
-        # Nothing is sent there by those in contact, but what was on its way.
-        came = [
+        fleet = self.start_fleet(seed=6)
+        fleet.how("c", "failing")
+        self.wait_until_left(fleet, "c")
+        left_at = time.time()
+        fleet.until(lambda: self.good_workers_seen(fleet, "a") > 0)
+        # Schedulers in contact send nothing there; requests in flight may still arrive for 50 ms.
+        arrivals = [
             each
-            for each in ground.records()
-            if each["ev"] == "got" and each["worker"] in ground.of_zone("c") and each["t"] > followed + 0.05
+            for each in fleet.records()
+            if each["ev"] == "got" and each["worker"] in fleet.of_zone("c") and each["t"] > left_at + 0.05
         ]
-        self.assertEqual(came, [])
-        ground.how("c", "up")
-        self.opened(ground, "c")
-        self.end(ground, {"c"})
+        self.assertEqual(arrivals, [])
+        fleet.how("c", "up")
+        self.wait_until_open(fleet, "c")
+        self.assert_only_left(fleet, {"c"})
 
     def test_fails_again_on_its_return(self) -> None:
-        ground = self.begin(seed=7)
-        ground.kill_zone("a")
-        self.left(ground, "a")
-        ground.start_zone("a")
-        ground.until(lambda: ground.states("a") == {"returning"})
-        ground.kill_zone("a")
-        self.left(ground, "a")
-        ground.start_zone("a")
-        self.opened(ground, "a")
-        self.assertEqual(ground.zones_of("s0")["zones"]["a"]["failures"], 2)  # the second stay was longer
-        self.end(ground, {"a"})
+        fleet = self.start_fleet(seed=7)
+        fleet.kill_zone("a")
+        self.wait_until_left(fleet, "a")
+        fleet.start_zone("a")
+        fleet.until(lambda: fleet.states("a") == {"returning"})
+        fleet.kill_zone("a")
+        self.wait_until_left(fleet, "a")
+        fleet.start_zone("a")
+        self.wait_until_open(fleet, "a")
+        self.assertEqual(fleet.zones_of("s0")["zones"]["a"]["failures"], 2)  # the second hold-down was longer
+        self.assert_only_left(fleet, {"a"})
 
 
 @pytest.mark.xdist_group("fleets-a")
-class Again(Fleets):
+class RepeatedFailures(FleetTestCase):
+    """A zone fails again while it is returning."""
+
     def test_it_fails_again_at_each_step_of_its_return(self) -> None:
-        ground = self.begin(seed=10)
-        ground.how("b", "failing")
-        self.left(ground, "b")
-        ground.how("b", "up")
+        fleet = self.start_fleet(seed=10)
+        fleet.how("b", "failing")
+        self.wait_until_left(fleet, "b")
+        fleet.how("b", "up")
         for step in (2, 3, 4):
-            before = len(ground.history())
-            ground.until(
+            before = len(fleet.history())
+            fleet.until(
                 lambda step=step, before=before: any(
-                    each["zone"] == "b" and each["step"] == step for each in ground.history()[before:]
+                    each["zone"] == "b" and each["step"] == step for each in fleet.history()[before:]
                 )
             )
-            ground.how("b", "failing")
-            ground.until(
+            fleet.how("b", "failing")
+            fleet.until(
                 lambda before=before: any(
-                    each["zone"] == "b" and each["state"] == "leaving" for each in ground.history()[before:]
+                    each["zone"] == "b" and each["state"] == "leaving" for each in fleet.history()[before:]
                 )
             )
-            ground.how("b", "up")
-        self.opened(ground, "b")
-        self.assertGreaterEqual(ground.zones_of("s0")["zones"]["b"]["failures"], 4)
-        self.end(ground, {"b"})
+            fleet.how("b", "up")
+        self.wait_until_open(fleet, "b")
+        self.assertGreaterEqual(fleet.zones_of("s0")["zones"]["b"]["failures"], 4)
+        self.assert_only_left(fleet, {"b"})
 
 
 @pytest.mark.xdist_group("fleets-b")
-class Solo(Fleets):
-    """Schedulers that may not talk: each by its own evidence."""
+class StandaloneSchedulers(FleetTestCase):
+    """Schedulers that may not communicate: each decides by its own evidence."""
 
     def test_each_leaves_a_killed_zone_and_returns(self) -> None:
-        ground = self.begin(seed=8, solo=True, per_zone=3, members=1)
-        ground.kill_zone("a")
-        self.left(ground, "a")
-        self.assertEqual((ground.states("b"), ground.states("c")), ({"open"}, {"open"}))
-        ground.start_zone("a")
-        self.opened(ground, "a")
-        ground.settle()
-        self.assertEqual(ground.wrong()[:5], [])
+        fleet = self.start_fleet(seed=8, solo=True, per_zone=3, members=1)
+        fleet.kill_zone("a")
+        self.wait_until_left(fleet, "a")
+        self.assertEqual((fleet.states("b"), fleet.states("c")), ({"open"}, {"open"}))
+        fleet.start_zone("a")
+        self.wait_until_open(fleet, "a")
+        fleet.settle()
+        self.assertEqual(fleet.wrong()[:5], [])
 
     def test_one_that_is_cut_off_leaves_nothing(self) -> None:
-        ground = self.begin(seed=9, solo=True, members=1)
-        ground.set(ground.links(["s4"], ground.workers), refused=True)
+        fleet = self.start_fleet(seed=9, solo=True, members=1)
+        fleet.set(fleet.links(["s4"], fleet.workers), refused=True)
 
-        def sees() -> bool:
-            return any(each["seen_good"] for each in ground.zones_of("s4")["zones"].values())
+        def has_good_evidence() -> bool:
+            return any(each["seen_good"] for each in fleet.zones_of("s4")["zones"].values())
 
-        ground.until(lambda: not sees())
+        fleet.until(lambda: not has_good_evidence())
         time.sleep(3.0)
-        self.assertEqual(ground.history("s4"), [])
-        ground.set(ground.links(["s4"], ground.workers))
-        ground.until(sees)
-        self.assertEqual(ground.history("s4"), [])
-        ground.settle()
+        self.assertEqual(fleet.history("s4"), [])
+        fleet.set(fleet.links(["s4"], fleet.workers))
+        fleet.until(has_good_evidence)
+        self.assertEqual(fleet.history("s4"), [])
+        fleet.settle()
 
 
 @pytest.mark.xdist_group("fleets-b")
-class NotLost(Fleets):
-    """What is no failed zone."""
+class NoFailedZone(FleetTestCase):
+    """Faults that must not be taken for a failed zone."""
 
-    def stays(self, ground: Ground, wait_s: float = 4.0) -> None:
-        """Nothing is left while this goes on; longer by far than a verdict on a failed zone takes."""
+    def assert_nothing_left(self, fleet: Ground, wait_s: float = 4.0) -> None:
+        """Asserts that no zone is left for this long, which is far longer than a verdict takes."""
         end = time.monotonic() + wait_s
         while time.monotonic() < end:
-            self.assertEqual(ground.history(ground.members[-1]), [])
+            self.assertEqual(fleet.history(fleet.members[-1]), [])
             time.sleep(0.2)
 
     def test_one_scheduler_is_cut_off_both_ways_and_one_way(self) -> None:
-        ground = self.begin(seed=11)
-        links = ground.links(["s4"], ground.workers)
-        for how in ({"there": False, "back": False}, {"back": False}, {"refused": True}):
-            ground.set(links, **how)
-            self.stays(ground)
-            ground.set(links)
-            ground.until(lambda: any(ground.zones_of("s4")["zones"][zone]["seen_good"] for zone in "abc"))
-        ground.settle()
+        fleet = self.start_fleet(seed=11)
+        links = fleet.links(["s4"], fleet.workers)
+        for fault in ({"there": False, "back": False}, {"back": False}, {"refused": True}):
+            fleet.set(links, **fault)
+            self.assert_nothing_left(fleet)
+            fleet.set(links)
+            fleet.until(lambda: any(fleet.zones_of("s4")["zones"][zone]["seen_good"] for zone in "abc"))
+        fleet.settle()
 
     def test_two_of_one_zone_see_all_others_fail(self) -> None:
-        ground = self.begin(seed=12)
-        others = [*ground.of_zone("b"), *ground.of_zone("c")]
-        ground.set(ground.links(["s0", "s3"], others), refused=True)
-        ground.until(lambda: ground.zones_of("s3")["zones"]["b"]["seen_bad"] > 0)
-        self.stays(ground)
-        ground.settle()
-        self.assertEqual(ground.wrong()[:5], [])
+        fleet = self.start_fleet(seed=12)
+        others = [*fleet.of_zone("b"), *fleet.of_zone("c")]
+        fleet.set(fleet.links(["s0", "s3"], others), refused=True)
+        fleet.until(lambda: fleet.zones_of("s3")["zones"]["b"]["seen_bad"] > 0)
+        self.assert_nothing_left(fleet)
+        fleet.settle()
+        self.assertEqual(fleet.wrong()[:5], [])
 
     def test_one_bad_worker_a_full_zone_and_no_discovery(self) -> None:
-        ground = self.begin(seed=13, per_zone=3)
-        ground.set(ground.links(ground.schedulers, ["discovery"]), there=False, back=False)
-        ground.parts["wa0"].do({"how": "failing"})
-        ground.how("b", "full")
-        ground.until(
-            lambda: any(ground.zones_of(name)["zones"]["a"]["seen_bad"] for name in ground.reached())
-        )
-        self.stays(ground)
-        ground.settle()
-        self.assertEqual(ground.wrong()[:5], [])
+        fleet = self.start_fleet(seed=13, per_zone=3)
+        fleet.set(fleet.links(fleet.schedulers, ["discovery"]), there=False, back=False)
+        fleet.parts["wa0"].do({"how": "failing"})
+        fleet.how("b", "full")
+        fleet.until(lambda: any(fleet.zones_of(name)["zones"]["a"]["seen_bad"] for name in fleet.reached()))
+        self.assert_nothing_left(fleet)
+        fleet.settle()
+        self.assertEqual(fleet.wrong()[:5], [])
 
 
 @pytest.mark.xdist_group("fleets-b")
-class Several(Fleets):
-    """Zones that fail together."""
+class SeveralZones(FleetTestCase):
+    """Several zones fail together."""
 
-    def never_without(self, ground: Ground) -> None:
-        """After each change some zone is open; what returns is none, as it may be left again."""
-        is_open = set(ground.zones)
-        for each in ground.history():
-            (is_open.add if each["state"] == "open" else is_open.discard)(each["zone"])
-            self.assertNotEqual(is_open, set(), each)
+    def assert_some_zone_open(self, fleet: Ground) -> None:
+        """Asserts that some zone was open after each change.
+
+        A returning zone does not count, as it may be left again.
+        """
+        open_zones = set(fleet.zones)
+        for each in fleet.history():
+            (open_zones.add if each["state"] == "open" else open_zones.discard)(each["zone"])
+            self.assertNotEqual(open_zones, set(), each)
 
     def test_two_together_and_the_last_is_never_left(self) -> None:
-        ground = self.begin(seed=21)
+        fleet = self.start_fleet(seed=21)
         for zone in ("a", "b"):
-            ground.how(zone, "failing")
-        self.left(ground, "a", "b")
-        ground.how("c", "failing")
-        ground.until(lambda: self.seen(ground, "c") == 0)
-        self.never_without(ground)  # c is open, unless another one has come to be open again before
-        for zone in ground.zones:
-            ground.how(zone, "up")
-        self.opened(ground, *ground.zones)
-        self.never_without(ground)
-        ground.settle()
-        self.assertEqual(ground.wrong()[:5], [])
+            fleet.how(zone, "failing")
+        self.wait_until_left(fleet, "a", "b")
+        fleet.how("c", "failing")
+        fleet.until(lambda: self.good_workers_seen(fleet, "c") == 0)
+        self.assert_some_zone_open(fleet)  # c is open, unless another zone has opened again before
+        for zone in fleet.zones:
+            fleet.how(zone, "up")
+        self.wait_until_open(fleet, *fleet.zones)
+        self.assert_some_zone_open(fleet)
+        fleet.settle()
+        self.assertEqual(fleet.wrong()[:5], [])
 
     def test_a_region_is_left_by_one_change(self) -> None:
-        ground = self.begin(seed=22, zones=("a", "b", "c", "d"), regions={"west": ["a", "b", "c"]})
-        ground.kill_zone("a")
-        ground.kill_zone("b")
-        self.left(ground, "a", "b", "c")
-        self.assertEqual(ground.states("d"), {"open"})
-        whole = [each for each in ground.history() if each["zone"] == "c" and each["state"] == "leaving"]
-        self.assertIn("region west", whole[0]["reason"])
-        ground.start_zone("a")
-        ground.start_zone("b")
-        self.opened(ground, "a", "b", "c")
-        self.end(ground, {"a", "b", "c"})
+        fleet = self.start_fleet(seed=22, zones=("a", "b", "c", "d"), regions={"west": ["a", "b", "c"]})
+        fleet.kill_zone("a")
+        fleet.kill_zone("b")
+        self.wait_until_left(fleet, "a", "b", "c")
+        self.assertEqual(fleet.states("d"), {"open"})
+        c_left = [each for each in fleet.history() if each["zone"] == "c" and each["state"] == "leaving"]
+        self.assertIn("region west", c_left[0]["reason"])
+        fleet.start_zone("a")
+        fleet.start_zone("b")
+        self.wait_until_open(fleet, "a", "b", "c")
+        self.assert_only_left(fleet, {"a", "b", "c"})
 
 
 @pytest.mark.xdist_group("fleets-c")
-class Broken(Fleets):
-    """The keeper, the store and schedulers fail while a zone is left and returned to."""
+class LeaderAndStoreFaults(FleetTestCase):
+    """The leader, the store and schedulers fail while a zone is being left or is returning."""
 
-    def test_the_keeper_is_killed_at_each_step(self) -> None:
-        ground = self.begin(seed=31)
+    def test_the_leader_is_killed_at_each_step(self) -> None:
+        fleet = self.start_fleet(seed=31)
         killed: list[str] = []
 
         def kill() -> None:
-            name = self.keeper(ground)
-            ground.kill(name)
+            name = self.last_author(fleet)
+            fleet.kill(name)
             killed.append(name)
-            ground.start(name)
+            fleet.start(name)
 
-        ground.kill_zone("b")
-        ground.until(lambda: ground.states("b", ground.reached()[:1]) <= OUT)
+        fleet.kill_zone("b")
+        fleet.until(lambda: fleet.states("b", fleet.reached()[:1]) <= LEAVING_OR_LEFT)
         kill()
-        self.left(ground, "b")
+        self.wait_until_left(fleet, "b")
         kill()
-        ground.start_zone("b")
-        ground.until(lambda: "returning" in ground.states("b"))
+        fleet.start_zone("b")
+        fleet.until(lambda: "returning" in fleet.states("b"))
         kill()
-        ground.until(lambda: any(each["zone"] == "b" and each["step"] == 3 for each in ground.history()))
+        fleet.until(lambda: any(each["zone"] == "b" and each["step"] == 3 for each in fleet.history()))
         kill()
-        self.opened(ground, "b")
-        self.end(ground, {"b"}, tuple(killed))
-
-    def test_the_keeper_is_stopped_while_a_zone_is_left_and_continues(self) -> None:
-        ground = self.begin(seed=32)
-        ground.kill_zone("b")
-        ground.until(lambda: ground.states("b", ground.reached()[:1]) <= OUT)
-        name = self.keeper(ground)
-        ground.stop(name)
-        self.left(ground, "b")
-        ground.start_zone("b")
-        ground.until(lambda: ground.states("b") == {"returning"})
-        ground.go_on(name)
-        self.opened(ground, "b")
-        self.end(ground, {"b"}, (name,))
-
-    def test_the_keeper_is_stopped_at_each_step_of_a_return_and_continues(self) -> None:
-        ground = self.begin(seed=35)
-        ground.kill_zone("b")
-        self.left(ground, "b")
-        ground.start_zone("b")
+        self.wait_until_open(fleet, "b")
+        self.assert_only_left(fleet, {"b"}, tuple(killed))
+
+    def test_the_leader_is_stopped_while_a_zone_is_left_and_continues(self) -> None:
+        fleet = self.start_fleet(seed=32)
+        fleet.kill_zone("b")
+        fleet.until(lambda: fleet.states("b", fleet.reached()[:1]) <= LEAVING_OR_LEFT)
+        name = self.last_author(fleet)
+        fleet.stop(name)
+        self.wait_until_left(fleet, "b")
+        fleet.start_zone("b")
+        fleet.until(lambda: fleet.states("b") == {"returning"})
+        fleet.go_on(name)
+        self.wait_until_open(fleet, "b")
+        self.assert_only_left(fleet, {"b"}, (name,))
+
+    def test_the_leader_is_stopped_at_each_step_of_a_return_and_continues(self) -> None:
+        fleet = self.start_fleet(seed=35)
+        fleet.kill_zone("b")
+        self.wait_until_left(fleet, "b")
+        fleet.start_zone("b")
         stopped: list[str] = []
         for step in (1, 2, 3, 4):
-            ground.until(
+            fleet.until(
                 lambda step=step: any(
-                    each["zone"] == "b" and each["step"] == step for each in ground.history()
+                    each["zone"] == "b" and each["step"] == step for each in fleet.history()
                 )
             )
-            name = self.keeper(ground)
-            ground.stop(name)
-            # Another member keeps by then; the stopped one finds that it does not.
-            ground.until(lambda name=name: self.keeper(ground) != name or ground.states("b") == {"open"})
-            ground.go_on(name)
+            name = self.last_author(fleet)
+            fleet.stop(name)
+            # By then another member leads; the stopped one finds that it no longer does.
+            fleet.until(lambda name=name: self.last_author(fleet) != name or fleet.states("b") == {"open"})
+            fleet.go_on(name)
             stopped.append(name)
-        self.opened(ground, "b")
-        self.end(ground, {"b"}, tuple(stopped))
-
-    def test_a_member_is_lost_in_a_return_and_all_are_restarted_at_each_step(self) -> None:
-        ground = self.begin(seed=36)
-        ground.kill_zone("c")
-        self.left(ground, "c")
-        ground.start_zone("c")
-        ground.until(lambda: ground.states("c") == {"returning"})
-        lost = next(name for name in ground.members if name != self.keeper(ground))
-        ground.kill(lost)
-        rest = [name for name in ground.schedulers if name != lost]
+        self.wait_until_open(fleet, "b")
+        self.assert_only_left(fleet, {"b"}, tuple(stopped))
+
+    def test_a_member_is_lost_and_all_others_restart_at_each_step_of_a_return(self) -> None:
+        fleet = self.start_fleet(seed=36)
+        fleet.kill_zone("c")
+        self.wait_until_left(fleet, "c")
+        fleet.start_zone("c")
+        fleet.until(lambda: fleet.states("c") == {"returning"})
+        lost = next(name for name in fleet.members if name != self.last_author(fleet))
+        fleet.kill(lost)
+        rest = [name for name in fleet.schedulers if name != lost]
         for step in (2, 3, 4):
-            ground.until(
+            fleet.until(
                 lambda step=step: any(
-                    each["zone"] == "c" and each["step"] >= step for each in ground.history()
+                    each["zone"] == "c" and each["step"] >= step for each in fleet.history()
                 )
             )
-            ground.kill(*rest)
+            fleet.kill(*rest)
             for name in rest:
-                ground.start(name, wait=False)
+                fleet.start(name, wait=False)
             for name in rest:
-                ground.serving(name)
-            ground.until(ground.contact)
-        self.opened(ground, "c")
-        self.end(ground, {"c"}, tuple(ground.schedulers))
-
-    def test_a_scheduler_is_cut_off_together_with_a_zones_loss(self) -> None:
-        ground = self.begin(seed=37)
-        ends = [*ground.workers, *ground.members, "discovery"]
-        ground.set(ground.links(["s4"], ends), there=False, back=False)
-        ground.kill_zone("a")
+                fleet.serving(name)
+            fleet.until(fleet.contact)
+        self.wait_until_open(fleet, "c")
+        self.assert_only_left(fleet, {"c"}, tuple(fleet.schedulers))
+
+    def test_a_scheduler_is_cut_off_while_a_zone_fails(self) -> None:
+        fleet = self.start_fleet(seed=37)
+        ends = [*fleet.workers, *fleet.members, "discovery"]
+        fleet.set(fleet.links(["s4"], ends), there=False, back=False)
+        fleet.kill_zone("a")
         others = ["s0", "s1", "s2", "s3"]
-        ground.until(lambda: ground.states("a", others) == {"left"})
-        ground.set(ground.links(["s4"], ends))
-        ground.start_zone("a")
-        self.opened(ground, "a")
-        self.end(ground, {"a"})
-
-    def test_the_store_loses_its_majority_in_a_return_and_gets_it_back(self) -> None:
-        ground = self.begin(seed=33)
-        ground.kill_zone("c")
-        self.left(ground, "c")
-        ground.start_zone("c")
-        ground.until(lambda: ground.states("c") == {"returning"})
-        ground.kill("s0", "s1")
-        ground.until(lambda: not any(ground.contact([name]) for name in ground.reached()))
-        served = len(ground.records())
-        ground.until(lambda: len(ground.records()) > served + 50)  # nothing waits for the store
-        ground.start("s0", wait=False)
-        ground.start("s1", wait=False)
-        ground.serving("s0")
-        ground.serving("s1")
-        self.opened(ground, "c")
-        self.end(ground, {"c"}, ("s0", "s1"))
-
-    def test_a_scheduler_stopped_beyond_its_lease_and_five_restarted_in_a_return(self) -> None:
-        ground = self.begin(seed=34)
-        ground.kill_zone("a")
-        self.left(ground, "a")
-        ground.start_zone("a")
-        ground.until(lambda: ground.states("a") == {"returning"})
-        ground.stop("s4")
-        ground.until(lambda: any(each["step"] == 3 for each in ground.history()))
-        ground.go_on("s4")
-        ground.until(ground.contact)
-        ground.kill(*ground.schedulers)
-        for name in ground.schedulers:
-            ground.start(name, wait=False)
-        for name in ground.schedulers:
-            ground.serving(name)
-        self.opened(ground, "a")
-        self.end(ground, {"a"}, tuple(ground.schedulers))
+        fleet.until(lambda: fleet.states("a", others) == {"left"})
+        fleet.set(fleet.links(["s4"], ends))
+        fleet.start_zone("a")
+        self.wait_until_open(fleet, "a")
+        self.assert_only_left(fleet, {"a"})
+
+    def test_the_store_loses_and_regains_its_majority_during_a_return(self) -> None:
+        fleet = self.start_fleet(seed=33)
+        fleet.kill_zone("c")
+        self.wait_until_left(fleet, "c")
+        fleet.start_zone("c")
+        fleet.until(lambda: fleet.states("c") == {"returning"})
+        fleet.kill("s0", "s1")
+        fleet.until(lambda: not any(fleet.contact([name]) for name in fleet.reached()))
+        served = len(fleet.records())
+        fleet.until(lambda: len(fleet.records()) > served + 50)  # requests do not wait for the store
+        fleet.start("s0", wait=False)
+        fleet.start("s1", wait=False)
+        fleet.serving("s0")
+        fleet.serving("s1")
+        self.wait_until_open(fleet, "c")
+        self.assert_only_left(fleet, {"c"}, ("s0", "s1"))
+
+    def test_a_scheduler_is_stopped_beyond_its_lease_and_all_restart_in_a_return(self) -> None:
+        fleet = self.start_fleet(seed=34)
+        fleet.kill_zone("a")
+        self.wait_until_left(fleet, "a")
+        fleet.start_zone("a")
+        fleet.until(lambda: fleet.states("a") == {"returning"})
+        fleet.stop("s4")
+        fleet.until(lambda: any(each["step"] == 3 for each in fleet.history()))
+        fleet.go_on("s4")
+        fleet.until(fleet.contact)
+        fleet.kill(*fleet.schedulers)
+        for name in fleet.schedulers:
+            fleet.start(name, wait=False)
+        for name in fleet.schedulers:
+            fleet.serving(name)
+        self.wait_until_open(fleet, "a")
+        self.assert_only_left(fleet, {"a"}, tuple(fleet.schedulers))
 
 
 @pytest.mark.xdist_group("fleets-b")
-class Flapping(Fleets):
-    def test_a_zone_that_comes_and_goes_every_second_is_left_longer_each_time(self) -> None:
-        ground = self.begin(seed=41)
+class FlappingZone(FleetTestCase):
+    """A zone alternates between failing and working."""
+
+    def test_a_zone_that_fails_every_other_second_is_left_for_longer_each_time(self) -> None:
+        fleet = self.start_fleet(seed=41)
         for _ in range(8):
-            ground.how("b", "failing")
+            fleet.how("b", "failing")
             time.sleep(1.0)
-            ground.how("b", "up")
+            fleet.how("b", "up")
             time.sleep(1.0)
-        leaves = [each for each in ground.history() if each["state"] == "leaving"]
+        leaves = [each for each in fleet.history() if each["state"] == "leaving"]
         self.assertLessEqual(len(leaves), 3)
-        self.opened(ground, "b")
-        self.end(ground, {"b"})
+        self.wait_until_open(fleet, "b")
+        self.assert_only_left(fleet, {"b"})
 
 
 @pytest.mark.xdist_group("fleets-c")
-class Orders(Fleets):
-    """An operator's word, by the command line."""
+class OperatorOrders(FleetTestCase):
+    """Orders of an operator by the command line."""
 
-    def run_command(self, ground: Ground, *words: str, at: str = "s4") -> tuple[int, str]:
-        words = ("-m", "spanwing", "zones", *words, "--socket", f"{ground.path}/{at}.sock")
-        done = subprocess.run([sys.executable, *words], cwd=ROOT, capture_output=True, text=True, timeout=30)
-        return done.returncode, done.stdout + done.stderr
+    def run_command(self, fleet: Ground, *words: str, at: str = "s4") -> tuple[int, str]:
+        words = ("-m", "spanwing", "zones", *words, "--socket", f"{fleet.path}/{at}.sock")
+        process = subprocess.run(
+            [sys.executable, *words], cwd=ROOT, capture_output=True, text=True, timeout=30
+        )
+        return process.returncode, process.stdout + process.stderr
 
-    def order(self, ground: Ground, *words: str, holds) -> None:
-        """Give an order; again where the contact was lost on the way, as the command says."""
+    def give_order(self, fleet: Ground, *words: str, holds) -> None:
+        """Gives an order; repeats it if the contact was lost meanwhile, as the command advises."""
         for _ in range(5):
-            code, said = self.run_command(ground, *words)
+            code, output = self.run_command(fleet, *words)
             if code == 0 or holds():
                 return
-            self.assertRegex(said, "look before|is reached")
-            ground.until(ground.contact)
-        self.fail(said)
+            self.assertRegex(output, "look before|is reached")
+            fleet.until(fleet.contact)
+        self.fail(output)
 
-    def refused(self, ground: Ground, *words: str) -> str:
-        code, said = self.run_command(ground, *words)
-        self.assertEqual(code, 1, said)
-        self.assertEqual(said.count("\n"), 1, said)
-        return said
+    def rejection(self, fleet: Ground, *words: str) -> str:
+        code, output = self.run_command(fleet, *words)
+        self.assertEqual(code, 1, output)
+        self.assertEqual(output.count("\n"), 1, output)
+        return output
 
     def test_orders(self) -> None:
-        ground = self.begin(seed=51, regions={"west": ["a", "b"]})
-        before = ground.zones_of("s4")["revision"]
-        self.assertIn("no zone or region", self.refused(ground, "leave", "mars"))
-        self.assertIn("not left", self.refused(ground, "return", "a"))
-        self.assertIn("not held", self.refused(ground, "release", "a"))
-        self.assertEqual(ground.zones_of("s4")["revision"], before)
-        self.order(ground, "leave", "a", holds=lambda: ground.states("a") <= OUT)
-        self.left(ground, "a")
-        self.assertIn("already", self.refused(ground, "leave", "a"))
-        # It is well, by all evidence, and stays away until it is ordered otherwise.
+        fleet = self.start_fleet(seed=51, regions={"west": ["a", "b"]})
+        before = fleet.zones_of("s4")["revision"]
+        self.assertIn("no zone or region", self.rejection(fleet, "leave", "mars"))
+        self.assertIn("not left", self.rejection(fleet, "return", "a"))
+        self.assertIn("not held", self.rejection(fleet, "release", "a"))
+        self.assertEqual(fleet.zones_of("s4")["revision"], before)
+        self.give_order(fleet, "leave", "a", holds=lambda: fleet.states("a") <= LEAVING_OR_LEFT)
+        self.wait_until_left(fleet, "a")
+        self.assertIn("already", self.rejection(fleet, "leave", "a"))
+        # All evidence on it is good, but it stays left until an order says otherwise.
         time.sleep(5.0)
-        self.assertEqual(ground.states("a"), {"left"})
-        self.order(ground, "return", "a", holds=lambda: "left" not in ground.states("a"))
-        self.opened(ground, "a")
-        held = lambda: ground.zones_of("s4")["zones"]["b"]["held"]  # noqa: E731 - asked twice
-        self.order(ground, "hold", "b", holds=held)
-        ground.how("b", "failing")
+        self.assertEqual(fleet.states("a"), {"left"})
+        self.give_order(fleet, "return", "a", holds=lambda: "left" not in fleet.states("a"))
+        self.wait_until_open(fleet, "a")
+        is_on_hold = lambda: fleet.zones_of("s4")["zones"]["b"]["held"]  # noqa: E731 - called several times
+        self.give_order(fleet, "hold", "b", holds=is_on_hold)
+        fleet.how("b", "failing")
         time.sleep(3.0)
-        self.assertEqual(ground.states("b"), {"open"})
-        self.order(ground, "release", "b", holds=lambda: not held())
-        self.left(ground, "b")
-        ground.how("b", "up")
-        self.opened(ground, "b")
-        two = [
+        self.assertEqual(fleet.states("b"), {"open"})
+        self.give_order(fleet, "release", "b", holds=lambda: not is_on_hold())
+        self.wait_until_left(fleet, "b")
+        fleet.how("b", "up")
+        self.wait_until_open(fleet, "b")
+        processes = [
             subprocess.Popen(
                 [
                     sys.executable,
@@ -491,7 +503,7 @@
                     "leave",
                     zone,
                     "--socket",
-                    f"{ground.path}/{at}.sock",
+                    f"{fleet.path}/{at}.sock",
                 ],
                 cwd=ROOT,
                 stderr=subprocess.PIPE,
@@ -499,57 +511,67 @@
             )
             for zone, at in (("west", "s1"), ("c", "s2"))
         ]
-        ended = [(each.wait(30), each.stderr.read()) for each in two]
-        for each in two:
+        results = [(each.wait(30), each.stderr.read()) for each in processes]
+        for each in processes:
             each.stderr.close()
-        self.assertLessEqual([code for code, _ in ended].count(0), 1, ended)
-        ground.until(ground.contact)
-        self.assertLess(sum(ground.states(zone) <= OUT for zone in ground.zones), 3, "no zone is in use")
-        code, said = self.run_command(ground, "history")
-        self.assertEqual((code, "operator at" in said), (0, True))
-        code, said = self.run_command(ground, "--json")
-        self.assertEqual((code, json.loads(said)["contact"]), (0, True))
-        ground.kill("s0", "s1")
-        ground.until(lambda: not ground.contact(["s4"]))
-        self.refused(ground, "hold", "c")
-        ground.settle()
-
-    def test_in_quarters(self) -> None:
-        ground = self.begin(seed=52, per_zone=4)
-        self.order(ground, "leave", "c", "--over", "8", holds=lambda: ground.states("c") <= OUT)
-        wrong = []
-
-        def through() -> bool:
-            """What a scheduler uses is what it has heard of."""
-            reply = ground.zones_of("s0")
-            told = reply["zones"]["c"]
-            if reply["contact"] and told["state"] == "leaving" and told["used"] != round(4 * told["share"]):
-                wrong.append(told)
-            return ground.states("c") == {"left"}
-
-        ground.until(through)
-        self.assertEqual(wrong, [])
-        shares = [each["share"] for each in ground.history() if each["zone"] == "c"]
+        self.assertLessEqual([code for code, _ in results].count(0), 1, results)
+        fleet.until(fleet.contact)
+        self.assertLess(
+            sum(fleet.states(zone) <= LEAVING_OR_LEFT for zone in fleet.zones), 3, "no zone is in use"
+        )
+        code, output = self.run_command(fleet, "history")
+        self.assertEqual((code, "operator at" in output), (0, True))
+        code, output = self.run_command(fleet, "--json")
+        self.assertEqual((code, json.loads(output)["contact"]), (0, True))
+        fleet.kill("s0", "s1")
+        fleet.until(lambda: not fleet.contact(["s4"]))
+        self.rejection(fleet, "hold", "c")
+        fleet.settle()
+
+    def test_a_zone_is_left_in_quarters(self) -> None:
+        fleet = self.start_fleet(seed=52, per_zone=4)
+        self.give_order(
+            fleet, "leave", "c", "--over", "8", holds=lambda: fleet.states("c") <= LEAVING_OR_LEFT
+        )
+        mismatches = []
+
+        def is_left() -> bool:
+            """Records in mismatches if the scheduler uses other workers than the share that it follows."""
+            reply = fleet.zones_of("s0")
+            zone_status = reply["zones"]["c"]
+            if (
+                reply["contact"]
+                and zone_status["state"] == "leaving"
+                and zone_status["used"] != round(4 * zone_status["share"])
+            ):
+                mismatches.append(zone_status)
+            return fleet.states("c") == {"left"}
+
+        fleet.until(is_left)
+        self.assertEqual(mismatches, [])
+        shares = [each["share"] for each in fleet.history() if each["zone"] == "c"]
         self.assertEqual(shares, sorted(shares, reverse=True))
         self.assertEqual(shares[-1], 0.0)
-        self.assertGreaterEqual(len(set(shares)), 3, shares)  # a keeper that stalls may pass over a quarter
-        self.end(ground, {"c"})
+        self.assertGreaterEqual(len(set(shares)), 3, shares)  # a stalled leader may skip a quarter
+        self.assert_only_left(fleet, {"c"})
 
 
 @pytest.mark.xdist_group("fleets-b")
-class Abuse(Fleets):
-    def test_bad_evidence_is_refused_and_harms_nothing(self) -> None:
-        ground = self.begin(seed=61, schedulers=3)
-        member = ground.ports["s0>s1"]
+class InvalidRenewals(FleetTestCase):
+    """Renewals that are malformed, out of bounds or from unknown schedulers."""
 
-        def say(line: bytes) -> bytes:
-            with socket.create_connection(("127.0.0.1", member), 5) as link:
-                link.sendall(line)
-                link.settimeout(5)
-                return link.makefile("rb").readline()
+    def test_invalid_evidence_is_rejected_and_has_no_effect(self) -> None:
+        fleet = self.start_fleet(seed=61, schedulers=3)
+        member_port = fleet.ports["s0>s1"]
+
+        def send_line(line: bytes) -> bytes:
+            with socket.create_connection(("127.0.0.1", member_port), 5) as connection:
+                connection.sendall(line)
+                connection.settimeout(5)
+                return connection.makefile("rb").readline()
 
         def renew(**what) -> bytes:
-            return say(
+            return send_line(
                 json.dumps(
                     {
                         "type": "renew",
@@ -565,8 +587,8 @@
                 + b"\n"
             )
 
-        self.assertEqual(say(b"garbage\n"), b"")
-        self.assertEqual(say(b"x" * 300_000 + b"\n"), b"")
+        self.assertEqual(send_line(b"garbage\n"), b"")
+        self.assertEqual(send_line(b"x" * 300_000 + b"\n"), b"")
         for bad in ({"session": ""}, {"session": "x" * 200}, {"seen": -1}, {"seen": 10**9}):
             reply = json.loads(renew(**bad))
             self.assertEqual(reply.get("lease_ms", 0.0), 0.0, bad)
@@ -577,11 +599,11 @@
             [{"a": [[], [], -1, 0]}],
             [{"a": [[], [], 1e400, 0]}],
         ):
-            renew(payload=payload)  # the lease is granted, the evidence is not taken
-        refused = ground.zones_of("s1")["refused"] + ground.zones_of("s0")["refused"]
-        # Observers that the settings do not know tell of a zone that is lost: nobody listens.
-        bad = [short_worker_id(worker_id_of(name)) for name in ground.of_zone("a")]
-        good = [short_worker_id(worker_id_of(name)) for zone in "bc" for name in ground.of_zone(zone)]
+            renew(payload=payload)  # the lease is granted, the evidence is ignored
+        rejected = fleet.zones_of("s1")["refused"] + fleet.zones_of("s0")["refused"]
+        # Evidence from observers whose position is not configured is ignored: they report a failed zone.
+        bad = [short_worker_id(worker_id_of(name)) for name in fleet.of_zone("a")]
+        good = [short_worker_id(worker_id_of(name)) for zone in "bc" for name in fleet.of_zone(zone)]
         for number in range(30):
             renew(
                 session=f"x{number % 6}.1",
@@ -590,60 +612,62 @@
                 payload=[{"a": [[], bad, 0, 0], "b": [good[:2], [], 0, 0], "c": [good[2:], [], 0, 0]}],
             )
         self.assertGreater(
-            ground.zones_of("s1")["refused"]
-            + ground.zones_of("s0")["refused"]
-            + ground.zones_of("s2")["refused"],
-            refused,
+            fleet.zones_of("s1")["refused"]
+            + fleet.zones_of("s0")["refused"]
+            + fleet.zones_of("s2")["refused"],
+            rejected,
         )
         many = {f"z{number}": [[], [1], 0, 0] for number in range(60)}
         renew(payload=[many])
-        ground.until(ground.contact)
-        self.assertEqual(ground.history(), [])
-        ground.settle()
-        self.assertEqual(ground.wrong()[:5], [])
+        fleet.until(fleet.contact)
+        self.assertEqual(fleet.history(), [])
+        fleet.settle()
+        self.assertEqual(fleet.wrong()[:5], [])
 
 
-class Checked(unittest.TestCase):
-    """The checker finds what must not be."""
+class RuleChecker(unittest.TestCase):
+    """The checker of the fleet's rules finds violations."""
 
-    def test_a_job_at_two_workers_at_a_time(self) -> None:
-        day = [
+    def test_a_request_at_two_workers_at_once(self) -> None:
+        records = [
             {"ev": ev, "job": "j", "worker": worker, "how": "up"}
             for ev, worker in (("got", "a"), ("got", "b"), ("done", "b"))
         ]
-        self.assertEqual(len(check.at_once(day)), 1)
-        self.assertEqual(check.at_once(day, {"a"}), [])
-        self.assertEqual(check.at_once([day[0], {**day[0], "ev": "dropped"}, day[1]]), [])
+        self.assertEqual(len(check.at_once(records)), 1)
+        self.assertEqual(check.at_once(records, {"a"}), [])
+        self.assertEqual(check.at_once([records[0], {**records[0], "ev": "dropped"}, records[1]]), [])
 
-    def test_a_job_taken_under_an_earlier_version(self) -> None:
-        day = [
+    def test_a_request_accepted_under_an_earlier_policy_version(self) -> None:
+        records = [
             {"ev": "taken", "job": str(number), "scheduler": "s", "version": version}
             for number, version in enumerate((1, 1, 2, 2))
         ]
-        self.assertEqual(check.versions(day), [])
-        self.assertEqual(len(check.versions([*day, day[0]])), 1)
+        self.assertEqual(check.versions(records), [])
+        self.assertEqual(len(check.versions([*records, records[0]])), 1)
 
-    def test_a_window_over_its_budget(self) -> None:
-        bears = check.Cold(0.5, 1000.0, 2.0, 100.0, 1, {"x": 60.0})
-        day = [
+    def test_a_window_above_its_budget(self) -> None:
+        limits = check.Cold(0.5, 1000.0, 2.0, 100.0, 1, {"x": 60.0})
+        records = [
             {"ev": "got", "worker": "a", "job": str(number), "cls": "x", "t": 1.0 + number / 1000.0}
             for number in range(2)
         ]
-        self.assertEqual(len(check.budgets(day, {"a": [1000.0]}, bears)), 1)
-        self.assertEqual(check.budgets(day[:1], {"a": [1000.0]}, bears), [])
+        self.assertEqual(len(check.budgets(records, {"a": [1000.0]}, limits)), 1)
+        self.assertEqual(check.budgets(records[:1], {"a": [1000.0]}, limits), [])
+
 
+class SwitchedOff(unittest.TestCase):
+    """A scheduler without a [zones] table."""
 
-class Off(unittest.TestCase):
-    def test_nothing_of_it_is_loaded(self) -> None:
+    def test_no_zone_module_is_imported(self) -> None:
         code = (
             "import sys, spanwing.daemon; print([name for name in sys.modules if name.startswith("
             "('spanwing.zones', 'spanwing.store.leader', 'spanwing.store.document_service', "
             "'spanwing.store.follower', 'spanwing.cli'))])"
         )
-        said = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
-        self.assertEqual(said.stdout.strip(), "[]", said.stderr)
+        output = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
+        self.assertEqual(output.stdout.strip(), "[]", output.stderr)
 
-    def test_switched_off_it_is_one_line(self) -> None:
+    def test_the_zones_command_exits_with_3_without_a_daemon(self) -> None:
         self.assertEqual(command(["zones", "--socket", "/nowhere/admin"]), 3)
 
 
