--- a/spanwing/zones/agent.py
+++ b/spanwing/zones/agent.py
@@ -222,7 +222,7 @@
     def choose_background_probes(self) -> list[int]:
         """Returns the workers to probe this second: some in zones that are not open, one in an open zone.
 
-        A scheduler that forwards few requests gets most of its evidence from these probes.
+        Where this scheduler forwards few requests, these probes are its only evidence.
         """
         probe_probability, open_zone_workers, chosen = (
             min(1.0, PROBES_PER_WORKER_PER_S / self.scheduler_count),
--- a/spanwing/zones/routing_filter.py
+++ b/spanwing/zones/routing_filter.py
@@ -133,7 +133,7 @@
                 is_feeder_without_lease=feeds_without_lease,
                 started_at_ms=worker.started,
             )
-        without_lease = is_first and not (zone.on_hold and zone.state != "returning")
+        is_admitted_without_lease = is_first and not (zone.on_hold and zone.state != "returning")
         is_feeder, feeding_from_ms, full_budget_from_ms, started = False, -math.inf, -math.inf, worker.started
         if zone.state == "returning":
             # Endpoint lists may be outdated: the start that the fleet knows of counts at every scheduler.
@@ -155,8 +155,8 @@
             is_feeder,
             feeding_from_ms,
             full_budget_from_ms,
-            without_lease,
-            without_lease and feeds_without_lease,
+            is_admitted_without_lease,
+            is_admitted_without_lease and feeds_without_lease,
             started,
         )
 
