--- a/measure/fleet/simulated.py
+++ b/measure/fleet/simulated.py
@@ -149,7 +149,7 @@
         self.lease, self.document = Lease(), Document()
         rules = RoutingRules(self.session, self.zone, world.cold, FALL_MS, FEEDERS)
         if "no-wait" in world.bugs:
-            rules = rules._replace(fall_ms=-LATE_MS)
+            rules = rules._replace(overload_window_ms=-LATE_MS)
         self.local = ZoneAgent(
             rules,
             self.position,
@@ -229,7 +229,7 @@
         )
         if gate.may_forward(worker.number, now, lease, clock) and (use.is_feeder is not None or by_hash):
             # By a list that does not show its new life yet, a worker of an open zone is fed as ever.
-            inside = gate.fleet is not None and gate.fleet.get_zone(worker.zone).inside
+            inside = gate.fleet is not None and gate.fleet.get_zone(worker.zone).used_by_own_zone
             blind = use.started_at_ms < worker.started and (use.is_feeder is None or not lease or inside)
             self.jobs += 1
             key = f"{self.session} {self.jobs}", 0
--- a/spanwing/simulation/zone_fleet.py
+++ b/spanwing/simulation/zone_fleet.py
@@ -157,7 +157,9 @@
             self._probe_workers(self.zone_agent.choose_workers_to_probe(grant.zones_to_probe))
             now = self.event_queue.now_ms
             trial.start_trials(
-                self.scheduler.decision_module, self.zone_agent.tries(now, grant.zones_to_probe), now
+                self.scheduler.decision_module,
+                self.zone_agent.choose_trial_workers(now, grant.zones_to_probe),
+                now,
             )
         if grant.message_id == self.last_renewal_number and grant.message_id > self.last_answered_renewal:
             self.last_answered_renewal = grant.message_id
@@ -242,7 +244,7 @@
         )
         super().__init__(simulation, scheduler, incarnation)
         self.zone_agent.routing_filter.rules = self.zone_agent.rules = self.zone_agent.rules._replace(
-            solo=True
+            is_standalone=True
         )
         self.standalone = StandaloneController(
             self.session_id, scheduler.zone, controller, self.event_queue.now_ms
