--- a/measure/fleet/bugged.py
+++ b/measure/fleet/bugged.py
@@ -37,7 +37,7 @@
         if (request, number) in self.in_flight and request in self.pending_requests:
             self.post(AttemptEnded(request, number, "moot", is_unsent=True))  # as if nothing had been sent
 
-    RequestManager.cancel_repeatable = recall
+    RequestManager.cancel_idempotent = recall
 
 
 def no_wait() -> None:
--- a/spanwing/core/request_manager.py
+++ b/spanwing/core/request_manager.py
@@ -646,7 +646,7 @@
         """Passes an event from outside the request manager to every scheduler."""
         self._dispatch_to_all(event)
 
-    def cancel_repeatable(self, request: str, number: int) -> None:
+    def cancel_idempotent(self, request: str, number: int) -> None:
         """Cancels an attempt of a safe class if it is in flight and its answer is still owed; it may be
         retried anywhere.
         """
--- a/spanwing/zones/service.py
+++ b/spanwing/zones/service.py
@@ -349,7 +349,7 @@
             if entry is not None and entry.zone == zone and not self.may_forward(attempt.worker):
                 loop.call_later(
                     self.random_source.uniform(0.0, RECALL_SPREAD_S),
-                    self.request_manager.cancel_repeatable,
+                    self.request_manager.cancel_idempotent,
                     request,
                     number,
                 )
