--- a/spanwing/core/request_manager.py
+++ b/spanwing/core/request_manager.py
@@ -310,7 +310,7 @@
             if (request, number) in self.in_flight
         ]
 
-    def hand_over(self, request: str) -> None:
+    def release_request(self, request: str) -> None:
         """Forgets a request that another process has taken over, with its attempts in flight; that process
         owes the answer from now on.
         """
--- a/spanwing/hot_restart/hot_restart.py
+++ b/spanwing/hot_restart/hot_restart.py
@@ -382,7 +382,7 @@
         core, request_id = self.context.core, transferred_request.request.id
         for _, out in core.in_flight_attempts(request_id):
             out.connection.release_attempt(request_id)
-        core.hand_over(request_id)
+        core.release_request(request_id)
         release_request(core.scheduler, request_id)
         self.transferred_request_ids.add(request_id)
         link.send(transferred_request, fd)
