--- a/spanwing/core/send_guard.py
+++ b/spanwing/core/send_guard.py
@@ -68,7 +68,7 @@
         self, state: SendState, counters: Counter[str], is_list_stale: Callable[[], bool] = lambda: False
     ) -> None:
         self.state, self.counters, self.is_list_stale = state, counters, is_list_stale
-        self.list_breaks_rule: Callable[[], bool] = lambda: False  # its age alone, whatever its deadline
+        self.is_list_too_old: Callable[[], bool] = lambda: False  # its age alone, whatever its deadline
 
     def permit(self, request: str, number: int, worker: str) -> SendPermit:
         """Returns the permit for one attempt; it is asked again at each use."""
@@ -138,6 +138,6 @@
         elif (
             not self.is_confirmed
             and self.guard.state.follows_list(self.request, self.number)
-            and self.guard.list_breaks_rule()
+            and self.guard.is_list_too_old()
         ):
             self.guard.record_violation(SendRule.DRAIN, self.request, self.worker, "list_too_old")
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -68,7 +68,7 @@
         self.assertEqual(self.counters, {"violation.drain": 1})
 
     def test_a_list_that_is_too_old_is_a_violation_also_if_the_guard_took_it_for_fresh(self) -> None:
-        self.guard.list_breaks_rule = lambda: True
+        self.guard.is_list_too_old = lambda: True
         with self.assertLogs("spanwing", "ERROR"):
             self.guard.permit("job-1", 0, "w1").check_sent(is_worker_draining=False)
         self.assertEqual(self.counters, {"violation.drain": 1})
