--- a/spanwing/daemon.py
+++ b/spanwing/daemon.py
@@ -52,7 +52,7 @@
 from spanwing.store.store import Store
 from spanwing.workers.connection_pool import ConnectionPool, DescriptorBudget
 from spanwing.workers.faktory_worker import FaktoryWorkerDirectory
-from spanwing.workers.http_worker import Confirmation, HttpWorker
+from spanwing.workers.http_worker import ConfirmationSettings, HttpWorker
 from spanwing.workers.load_report import LoadReportReader
 
 if TYPE_CHECKING:
@@ -149,7 +149,7 @@
             return HttpWorker(name, pool, load_reader, retired, confirmation)
 
         timing = CallTiming.from_settings(settings.drain_grace, not settings.subscribe)
-        confirmation = Confirmation(
+        confirmation = ConfirmationSettings(
             lambda: permissions.probes and discovery.is_unconfirmed(), timing.unread_after_s
         )
         discovery = self.discovery = DiscoveryClient(
--- a/spanwing/workers/http_worker.py
+++ b/spanwing/workers/http_worker.py
@@ -66,7 +66,7 @@
     report: tuple[float, ...] | None
 
 
-class Confirmation(NamedTuple):
+class ConfirmationSettings(NamedTuple):
     """When a worker is asked, before a request goes to it, whether it accepts work.
 
     A draining worker answers GET /alive with 503. So even a list of unknown age sends nothing to it.
@@ -108,7 +108,7 @@
         connection_pool: ConnectionPool,
         load_reader: LoadReportReader,
         on_retired: Callable[[HttpWorker], None],
-        confirmation: Confirmation = Confirmation(),  # noqa: B008 - a tuple
+        confirmation: ConfirmationSettings = ConfirmationSettings(),  # noqa: B008 - a tuple
     ) -> None:
         super().__init__()
         self.confirmation, self.confirmed_until_s = confirmation, 0.0
--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -9,7 +9,7 @@
 from spanwing.net.address import Address
 from spanwing.net.buffers import BufferPool
 from spanwing.workers.connection_pool import ConnectionPool, DescriptorBudget
-from spanwing.workers.http_worker import Confirmation, HttpWorker
+from spanwing.workers.http_worker import ConfirmationSettings, HttpWorker
 from spanwing.workers.load_report import LoadReportReader
 
 VALID_S = 5.0
@@ -24,7 +24,7 @@
         self.addCleanup(server.close)
         address = Address(*server.sockets[0].getsockname()[:2])
         pool = ConnectionPool(address, BufferPool(), DescriptorBudget(99), 9e3, 9e3)
-        confirmation = Confirmation(lambda: self.is_needed, VALID_S)
+        confirmation = ConfirmationSettings(lambda: self.is_needed, VALID_S)
         self.worker = HttpWorker("w1", pool, LoadReportReader(()), lambda _: None, confirmation)
         self.ended: asyncio.Queue[tuple[str, bool]] = asyncio.Queue()
 
