--- a/spanwing/core/messages.py
+++ b/spanwing/core/messages.py
@@ -53,7 +53,7 @@
     request: JobRequest
     number: int
     timeout_ms: float  # ms from now after which the request manager cancels it
-    is_repeatable: bool = False  # idempotent: running it again does no harm
+    is_idempotent: bool = False  # idempotent: running it again does no harm
     is_recorded: bool = False  # recorded in the journal before its first byte is sent
     #: If the worker connection records the intent itself: called before the first byte, with the callback
     #: that receives whether the attempt may be sent.
--- a/spanwing/workers/http_worker.py
+++ b/spanwing/workers/http_worker.py
@@ -171,7 +171,7 @@
 
     async def _run_attempt(self, attempt: HttpAttempt) -> None:
         request = attempt.delivery.request
-        holds_last_byte = not attempt.delivery.is_repeatable
+        holds_last_byte = not attempt.delivery.is_idempotent
         connection = await self._send_request(
             lambda: self._encode_attempt(attempt), holds_last_byte, lambda: self._is_wanted(attempt), attempt
         )
--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -42,17 +42,17 @@
         if isinstance(message, AttemptEnded):
             self.ended.put_nowait((message.result, message.is_unsent))
 
-    async def deliver(self, request: str, is_repeatable: bool = True) -> tuple[str, bool]:
-        delivery = DeliveryAttempt(JobRequest(request, "look", 9e3), 0, 5e3, is_repeatable)
+    async def deliver(self, request: str, is_idempotent: bool = True) -> tuple[str, bool]:
+        delivery = DeliveryAttempt(JobRequest(request, "look", 9e3), 0, 5e3, is_idempotent)
         self.worker.deliver(delivery, self)
         async with asyncio.timeout(5):
             return await self.ended.get()
 
     async def test_one_that_accepts_work_gets_the_request_on_the_same_connection(self) -> None:
-        for is_repeatable in (True, False):
+        for is_idempotent in (True, False):
             self.worker.confirmed_until_s = 0.0
             self.seen.clear()
-            self.assertEqual(await self.deliver("job-1", is_repeatable), ("ok", False))
+            self.assertEqual(await self.deliver("job-1", is_idempotent), ("ok", False))
             self.assertEqual([each.split()[0] for each in self.seen], ["GET", "POST"])
 
     async def test_one_that_drains_gets_nothing_and_the_attempt_ends_unsent(self) -> None:
