--- a/benchmarks/send_guard_cost.py
+++ b/benchmarks/send_guard_cost.py
@@ -25,7 +25,9 @@
     request = SimpleNamespace(id="job-1", cls="read")
     now_ms = manager.clock.now_ms()
     manager.pending_requests["job-1"] = PendingRequest(request, None, now_ms + 1e7, attempt_count=1)
-    manager.in_flight["job-1", 0] = InFlightAttempt(None, 1, now_ms, now_ms + 1e7, None, follows_list=True)
+    manager.in_flight["job-1", 0] = InFlightAttempt(
+        None, 1, now_ms, now_ms + 1e7, None, to_discovered_worker=True
+    )
     permit = manager.guard.permit("job-1", 0, "w1")
     begun_s = time.perf_counter()
     for _ in range(ROUNDS):
--- a/spanwing/core/request_manager.py
+++ b/spanwing/core/request_manager.py
@@ -73,7 +73,7 @@
     timer: object
     is_recorded: bool = False  # its intent was passed to the journal
     awaits_record: bool = False  # for its intent to be on disk; the worker connection does not have it yet
-    follows_list: bool = False  # the worker is one that discovery named
+    to_discovered_worker: bool = False  # the worker is one that discovery named
 
 
 class RequestManager(Actor):
@@ -107,7 +107,7 @@
         # Called after each change of the worker list.
         self.on_endpoints_changed: Callable[[], None] | None = None
         self.endpoints_known = False  # a worker list came that is not empty, or is complete
-        self.discovery_heard_s = self.loop.time()  # time of the last list from discovery, or of the start
+        self.discovery_heard_s = self.loop.time()  # loop time; the start if none came
 
     def handle_message(self, message: Any) -> None:
         """Handles one message, and wakes the waiters once nothing is open."""
@@ -498,7 +498,7 @@
             now_ms,
             now_ms + timeout_ms,
             timer,
-            follows_list=action.worker in self.connections_by_source.get(DISCOVERY_SOURCE, ()),
+            to_discovered_worker=action.worker in self.connections_by_source.get(DISCOVERY_SOURCE, ()),
         )
         if timeout_ms <= 0 or number >= self.acting_scheduler.set.max_attempts or connection is None:
             self.post(AttemptEnded(*key, "moot"))
@@ -560,10 +560,10 @@
                     pending.send_until_ms, forwarded_ms + each.window - scheduler.set.tick
                 )
 
-    def follows_list(self, request: str, number: int) -> bool:
+    def to_discovered_worker(self, request: str, number: int) -> bool:
         """Returns whether the attempt goes to a worker that discovery named."""
         attempt = self.in_flight.get((request, number))
-        return attempt is not None and attempt.follows_list
+        return attempt is not None and attempt.to_discovered_worker
 
     def send_refusal(self, request: str, number: int) -> SendRefusal | None:
         """Returns why this attempt may not be sent now; None: it may.
@@ -582,7 +582,7 @@
             return SendRefusal.WINDOW_PASSED
         if pending.may_have_run and pending.request.cls in self.unsafe_classes:
             return SendRefusal.MAY_HAVE_RUN
-        if attempt.follows_list and self.guard.is_list_stale():
+        if attempt.to_discovered_worker and self.guard.is_list_stale():
             return SendRefusal.LIST_STALE
         zones = self.zone_routing
         if zones is not None and not zones.may_forward(attempt.worker):
@@ -632,8 +632,8 @@
     def probe_worker(self, worker: int) -> None:
         """Probes a worker for its load report; does nothing if it has no connection."""
         connection = self._connection_to(worker)
-        follows_list = worker in self.connections_by_source.get(DISCOVERY_SOURCE, ())
-        if connection is not None and self.guard.may_probe(follows_list):
+        to_discovered_worker = worker in self.connections_by_source.get(DISCOVERY_SOURCE, ())
+        if connection is not None and self.guard.may_probe(to_discovered_worker):
             self.counters["probed"] += 1
             connection.probe(worker, self)
 
--- a/spanwing/core/send_guard.py
+++ b/spanwing/core/send_guard.py
@@ -57,7 +57,7 @@
     def send_refusal(self, request: str, number: int) -> SendRefusal | None:
         """Returns why this attempt may not be sent now; None: it may."""
 
-    def follows_list(self, request: str, number: int) -> bool:
+    def to_discovered_worker(self, request: str, number: int) -> bool:
         """Returns whether the attempt goes to a worker that discovery named."""
 
 
@@ -74,9 +74,9 @@
         """Returns the permit for one attempt; it is asked again at each use."""
         return SendPermit(self, request, number, worker)
 
-    def may_probe(self, follows_list: bool) -> bool:
+    def may_probe(self, to_discovered_worker: bool) -> bool:
         """Returns whether a probe may be sent; follows_list: to a worker that discovery named."""
-        if follows_list and self.is_list_stale():
+        if to_discovered_worker and self.is_list_stale():
             self.counters["guard.refused.probe"] += 1
             return False
         return True
@@ -137,7 +137,7 @@
             self.guard.record_violation(RULE_OF_REFUSAL[refusal], self.request, self.worker, str(refusal))
         elif (
             not self.is_confirmed
-            and self.guard.state.follows_list(self.request, self.number)
+            and self.guard.state.to_discovered_worker(self.request, self.number)
             and self.guard.is_list_too_old()
         ):
             self.guard.record_violation(SendRule.DRAIN, self.request, self.worker, "list_too_old")
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -31,7 +31,9 @@
     def setUp(self) -> None:
         self.refusal: SendRefusal | None = None
         self.counters: Counter[str] = Counter()
-        state = SimpleNamespace(send_refusal=lambda *_: self.refusal, follows_list=lambda *_: self.follows)
+        state = SimpleNamespace(
+            send_refusal=lambda *_: self.refusal, to_discovered_worker=lambda *_: self.follows
+        )
         self.follows = True
         self.guard = SendGuard(state, self.counters)
 
@@ -82,8 +84,8 @@
 
     def test_probes_follow_the_age_of_the_list_that_named_the_worker(self) -> None:
         self.guard.is_list_stale = lambda: True
-        self.assertFalse(self.guard.may_probe(follows_list=True))
-        self.assertTrue(self.guard.may_probe(follows_list=False))
+        self.assertFalse(self.guard.may_probe(to_discovered_worker=True))
+        self.assertTrue(self.guard.may_probe(to_discovered_worker=False))
 
 
 class Status(unittest.TestCase):
