--- a/spanwing/core/request_manager.py
+++ b/spanwing/core/request_manager.py
@@ -572,9 +572,9 @@
         """
         pending, attempt = self.pending_requests.get(request), self.in_flight.get((request, number))
         if pending is None:
-            return SendRefusal.REQUEST_OVER
+            return SendRefusal.REQUEST_ENDED
         if attempt is None or number != pending.attempt_count - 1:
-            return SendRefusal.ATTEMPT_OVER
+            return SendRefusal.ATTEMPT_ENDED
         now_ms = self.clock.now_ms()
         if now_ms >= attempt.expires_ms:
             return SendRefusal.DEADLINE_PASSED
--- a/spanwing/core/send_guard.py
+++ b/spanwing/core/send_guard.py
@@ -21,8 +21,8 @@
 class SendRefusal(enum.StrEnum):
     """Why an attempt may not be sent."""
 
-    REQUEST_OVER = "request_over"  # answered, its client gone, or taken over by another process
-    ATTEMPT_OVER = "attempt_over"  # cancelled, ended, or another attempt of the request is out
+    REQUEST_ENDED = "request_over"  # answered, its client gone, or taken over by another process
+    ATTEMPT_ENDED = "attempt_over"  # cancelled, ended, or another attempt of the request is out
     DEADLINE_PASSED = "deadline_passed"
     WINDOW_PASSED = "window_passed"  # workers may no longer drop it as a repeat
     MAY_HAVE_RUN = "may_have_run"  # its class must not run twice
@@ -41,8 +41,8 @@
 
 #: The rule that would have been broken by a send that is refused for this reason.
 RULE_OF_REFUSAL = {
-    SendRefusal.REQUEST_OVER: SendRule.LOST,
-    SendRefusal.ATTEMPT_OVER: SendRule.DUPLICATE,
+    SendRefusal.REQUEST_ENDED: SendRule.LOST,
+    SendRefusal.ATTEMPT_ENDED: SendRule.DUPLICATE,
     SendRefusal.DEADLINE_PASSED: SendRule.LOST,
     SendRefusal.WINDOW_PASSED: SendRule.DUPLICATE,
     SendRefusal.MAY_HAVE_RUN: SendRule.DUPLICATE,
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -48,9 +48,9 @@
 
     def test_what_was_sent_against_a_rule_is_a_violation(self) -> None:
         for refusal, rule in (
-            (SendRefusal.REQUEST_OVER, "lost"),
+            (SendRefusal.REQUEST_ENDED, "lost"),
             (SendRefusal.DEADLINE_PASSED, "lost"),
-            (SendRefusal.ATTEMPT_OVER, "duplicate"),
+            (SendRefusal.ATTEMPT_ENDED, "duplicate"),
             (SendRefusal.MAY_HAVE_RUN, "duplicate"),
             (SendRefusal.WINDOW_PASSED, "duplicate"),
             (SendRefusal.LIST_STALE, "drain"),
@@ -165,13 +165,13 @@
         permit = await self.submitted("read")
         del self.manager.pending_requests["job-1"]
         self.assertFalse(permit())
-        self.assertEqual(permit.refusal, SendRefusal.REQUEST_OVER)
+        self.assertEqual(permit.refusal, SendRefusal.REQUEST_ENDED)
 
     async def test_its_end_refuses_it(self) -> None:
         permit = await self.submitted("read")
         del self.manager.in_flight["job-1", 0]
         self.assertFalse(permit())
-        self.assertEqual(permit.refusal, SendRefusal.ATTEMPT_OVER)
+        self.assertEqual(permit.refusal, SendRefusal.ATTEMPT_ENDED)
 
     async def test_the_end_of_its_time_refuses_it(self) -> None:
         permit = await self.submitted("read", budget=30.0)
