--- a/spanwing/core/request_manager.py
+++ b/spanwing/core/request_manager.py
@@ -107,7 +107,7 @@
         # Called after each change of the worker list.
         self.on_endpoints_changed: Callable[[], None] | None = None
         self.endpoints_known = False  # a worker list came that is not empty, or is complete
-        self.discovery_heard_s = self.loop.time()  # loop time; the start if none came
+        self.last_discovery_report_s = self.loop.time()  # loop time; the start if none came
 
     def handle_message(self, message: Any) -> None:
         """Handles one message, and wakes the waiters once nothing is open."""
@@ -161,7 +161,7 @@
 
     def discovery_age_s(self) -> float:
         """Returns the seconds since discovery last reported anything, or since the start."""
-        return self.loop.time() - self.discovery_heard_s
+        return self.loop.time() - self.last_discovery_report_s
 
     def is_idle(self) -> bool:
         """Returns whether nothing is pending, in flight or in the mailbox."""
@@ -383,7 +383,7 @@
         if update.scope != "error":
             self.endpoints_known |= bool(update.workers) or update.scope == "complete"
             if update.scope != "persisted" and message.source == DISCOVERY_SOURCE:
-                self.discovery_heard_s = self.loop.time()
+                self.last_discovery_report_s = self.loop.time()
         if update.scope in ("complete", "persisted") and len(self.connections_by_source) > 1:
             # A complete list of one directory says nothing about the workers of another.
             listed_ids = {each.id for each in update.workers}
