--- a/spanwing/core/__init__.py
+++ b/spanwing/core/__init__.py
@@ -1,1 +1,1 @@
-"""Requests, delivery attempts and their one final answer, independent of any wire protocol."""
+"""Requests, their delivery attempts and their final answers, independent of any wire protocol."""
--- a/spanwing/core/clock.py
+++ b/spanwing/core/clock.py
@@ -1,4 +1,4 @@
-"""The scheduler's clock: Unix time in ms, as in the endpoint list, that never steps back."""
+"""The scheduler's clock: Unix time in milliseconds, like the times in the endpoint list, that never steps."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Clock:
-    """Reads the wall clock once at its creation and adds monotonic time to it from then on."""
+    """A clock that reads the wall clock once, at its creation, and adds monotonic time from then on."""
 
     def __init__(self) -> None:
         self.offset_s = time.time() - time.monotonic()
--- a/spanwing/core/messages.py
+++ b/spanwing/core/messages.py
@@ -1,4 +1,8 @@
-"""Messages to and from the request manager, and the protocols of the parts it works with."""
+"""Messages to and from the request manager, and the interfaces of the components that it works with.
+
+In messages and method parameters a `request: str` is the id of a request, and `number` is the number of a
+delivery attempt among the attempts of its request, from 0. Names that end in `_ms` are milliseconds.
+"""
 
 from __future__ import annotations
 
@@ -8,40 +12,46 @@
 
 from spanwing import interface as api
 
+#: served: the worker's result; refused: the job has not run, so a retry is harmless; failed: no statement on
+#: whether the job ran; repeated: a request of the same id is open, or began earlier with unknown outcome.
 AnswerKind = Literal["served", "refused", "failed", "repeated"]
 
 
 @dataclass(frozen=True, slots=True)
 class JobRequest:
-    """A request as any frontend submits it; target, body and key are passed through unread."""
+    """A request as a front end submits it.
+
+    A hot restart transfers requests to another process under these field names. The target, the body and
+    the idempotency key are passed to the worker unread.
+    """
 
     id: str
-    cls: str
-    budget: float  # ms that the client will wait
+    cls: str  # name of the service class
+    budget: float  # ms that the client waits for the answer, from its submission
     tenant: str | None = None
-    slots: int = 1
-    memory: float = 0.0
-    hint: float = 0.0
-    route_key: str | None = None
-    repeat: bool = False
+    slots: int = 1  # worker slots that the job occupies
+    memory: float = 0.0  # memory that the job needs, in the unit that the setting memory_unit names
+    hint: float = 0.0  # the client's estimate of the running time; 0: none
+    route_key: str | None = None  # sticky key: requests with the same key prefer the same worker
+    repeat: bool = False  # the client states that it has submitted this request before
     method: str = "POST"
     target: str = "/"
     body: bytes = b""
-    effect_key: str | None = None
-    media: str = ""  # media type of the body, where the frontend gives one
-    front: str = ""  # the frontend that accepted it
+    effect_key: str | None = None  # idempotency key
+    media: str = ""  # media type of the body; empty if the front end gives none
+    front: str = ""  # name of the front end that accepted the request
 
 
 class FinalAnswer(NamedTuple):
-    """The one final answer of a request."""
+    """The final answer of a request; each request gets exactly one."""
 
     kind: AnswerKind
     body: bytes = b""
-    retry_after_ms: float = 0.0  # ms
+    retry_after_ms: float = 0.0  # 0: the answer carries no Retry-After
 
 
 class ClientConnection(Protocol):
-    """The connection that submitted a request and receives its answer."""
+    """The client connection that submitted a request and receives its answer."""
 
     def answer(self, request: JobRequest, answer: FinalAnswer) -> None:
         """Sends the final answer of a request to the client."""
@@ -52,39 +62,42 @@
 
     request: JobRequest
     number: int
-    timeout_ms: float  # ms from now after which the request manager cancels it
-    is_idempotent: bool = False  # idempotent: running it again does no harm
-    is_recorded: bool = False  # recorded in the journal before its first byte is sent
-    #: If the worker connection records the intent itself: called before the first byte, with the callback
-    #: that receives whether the attempt may be sent.
+    timeout_ms: float  # time from now after which the request manager cancels the attempt
+    is_idempotent: bool = False  # running the job twice does no harm
+    is_recorded: bool = False  # its intent is recorded in the journal before its first byte is sent
+    #: Set only for a worker connection that records the intent itself. The connection calls it before the
+    #: first byte, with a callback that receives whether the attempt may be sent.
     record_intent: Callable[[Callable[[bool], None]], None] | None = None
-    #: If set: called just before the last byte; an attempt that may not be sent then ends as moot.
+    #: Checked by the worker connection each time bytes are handed on, up to the last one; None: no check.
+    #: An attempt that may no longer be sent ends as moot.
     may_send: Callable[[], bool] | None = None
 
 
 class AttemptListener(Protocol):
-    """Receives the messages of a worker connection about its delivery attempts."""
+    """Receives the messages of a worker connection about its delivery attempts and probes."""
 
     def post(self, message: object) -> None:
         """Queues a message for the listener."""
 
 
 class WorkerConnection(Protocol):
-    """A worker, however it is reached. Each delivery ends in exactly one AttemptEnded."""
+    """Connection to one worker, over any protocol. Each delivery ends in exactly one AttemptEnded."""
 
-    name: str  # as in its directory
+    name: str  # the worker's name in its directory
     address: str  # network address
-    records_intent_itself: bool  # it calls record_intent itself, since work may be queued there for long
+    #: The connection calls DeliveryAttempt.record_intent itself, as attempts may be queued in it for long.
+    records_intent_itself: bool
 
     def deliver(self, delivery: DeliveryAttempt, listener: AttemptListener) -> None:
-        """Starts a delivery attempt; the listener receives its progress and its end."""
+        """Starts a delivery attempt; the listener receives its progress and its result."""
 
     def cancel(self, request: str, number: int, result: api.Result) -> None:
-        """Cancels an attempt; it ends with this result unless it has ended already."""
+        """Cancels an attempt, sent or not; it ends with this result unless it has ended already."""
 
     def withdraw(self, request: str, number: int) -> None:
-        """Withdraws an attempt that nobody waits for: it ends as moot if its last byte is unsent, and
-        continues otherwise.
+        """Withdraws an attempt whose request needs no answer any more.
+
+        The attempt ends as moot if its last byte is unsent, and continues otherwise.
         """
 
     def probe(self, worker: int, listener: AttemptListener) -> None:
@@ -95,82 +108,91 @@
     """Source of the worker list and its changes."""
 
     def watch(self) -> None:
-        """Starts to follow the worker list."""
+        """Subscribes to changes of the worker list."""
 
 
 class AttemptRecorder(Protocol):
-    """Records work that must not run twice. Records are stored in the order of the calls; none of the calls
-    blocks, and only an intent is acknowledged, by a callback on the loop.
+    """Records requests that must not run twice, and their attempts.
+
+    Records are stored in the order of the calls. No call blocks, and only an intent is acknowledged, by a
+    callback on the event loop.
     """
 
     def unavailable_reason(self) -> str:
-        """Returns why such work is rejected now; empty if it is accepted."""
+        """Returns why requests that must be recorded are rejected now; empty if they are accepted."""
 
     def find_interrupted(self, request: str) -> str:
-        """Returns the state in which an earlier incarnation left a request of this id; empty if it left
-        none.
+        """Returns what is known of a request of this id that an earlier incarnation left open.
+
+        Returns an empty string if there is none.
         """
 
     def record_accepted(
         self, request: str, class_name: str, tenant: str, key: str, front: str, budget_ms: float
     ) -> None:
-        """Records that a request was accepted."""
+        """Records that a request was accepted; key is its idempotency key, front its front end."""
 
     def record_intent(
         self, request: str, attempt: int, worker: str, address: str, on_recorded: Callable[[bool], None]
     ) -> None:
-        """Records the intent to send an attempt, then calls on_recorded with whether the attempt may be
-        sent.
+        """Records the intent to send an attempt.
+
+        Calls on_recorded with whether the attempt may be sent, once the record is on disk or the recorder
+        stops waiting for that.
         """
 
     def record_last_byte(self, request: str, attempt: int) -> None:
-        """Records that the attempt's last byte was written."""
+        """Records that an attempt's last byte was written."""
 
     def record_unsent(self, request: str, attempt: int, reason: str) -> None:
-        """Records that the attempt ended with its last byte certainly unsent."""
+        """Records that an attempt ended and its last byte was certainly not sent."""
 
     def record_cancelled(self, request: str, attempt: int, reason: str) -> None:
-        """Records that the scheduler stopped waiting for the attempt."""
+        """Records that the scheduler cancelled an attempt."""
 
     def record_outcome(self, request: str, attempt: int, result: str) -> None:
-        """Records the result of an attempt that may have run."""
+        """Records the result of an attempt whose last byte may have been sent."""
 
     def record_answered(self, request: str, kind: str) -> None:
-        """Records the kind of the final answer."""
+        """Records the kind of a request's final answer, or "left" if its client disconnected first."""
 
 
 class ZoneRouting(Protocol):
-    """Decides which workers may be used where the fleet leaves and returns to zones as one. Workers are
-    named by their number.
+    """Decides which workers may be used, where the fleet leaves a zone and returns to it as a whole.
+
+    Workers are identified by their scheduler id, attempts by their request id and number.
     """
 
     def may_forward(self, worker: int) -> bool:
         """Returns whether an attempt may be forwarded to the worker now."""
 
     def filter_workers(self, endpoint_list: api.WorkerList) -> api.WorkerList:
-        """Returns the worker list as the scheduler is to see it."""
+        """Returns the worker list in which workers that may not be used are marked as draining."""
 
     def attempt_sent(self, worker: int, attempt: tuple[str, int]) -> None:
-        """Notes that an attempt was forwarded to the worker."""
+        """Called when an attempt is forwarded to the worker."""
 
     def attempt_accepted(self, worker: int, attempt: tuple[str, int]) -> None:
-        """Notes that the worker accepted the attempt."""
+        """Called when the worker has accepted the attempt."""
 
     def attempt_ended(self, worker: int, attempt: tuple[str, int], result: str) -> None:
-        """Notes the result of an attempt."""
+        """Called when an attempt has ended, with its result."""
 
     def probe_finished(self, worker: int, result: str) -> None:
-        """Notes the result of a probe."""
+        """Called when a probe of the worker has ended, with its result."""
 
 
 class PolicyAdmission(Protocol):
-    """Decides whether a request may be accepted now, where the policy is shared by the fleet."""
+    """Decides whether a request may be accepted now, where the fleet shares a policy."""
 
     def admit(self, submitted: RequestSubmitted) -> bool:
-        """Returns whether the request is accepted now; if not, it is answered or posted again later."""
+        """Returns whether the request is accepted now.
+
+        Otherwise the implementation rejects it, or queues it and submits it again later.
+        """
 
     def client_disconnected(self, request: str, client: ClientConnection) -> None:
-        """Notes that the client of a request that was not accepted has disconnected."""
+        """Called when the client of a request that is not accepted yet has disconnected."""
 
 
 class RequestSubmitted(NamedTuple):
@@ -181,28 +203,28 @@
 
 
 class RequestRejected(NamedTuple):
-    """A frontend has rejected a request by itself; it never reached the request manager."""
+    """A front end has rejected a request that was not submitted to the request manager."""
 
     class_name: str
 
 
 class ClientDisconnected(NamedTuple):
-    """The client disconnected; a request of the same id from another client is not affected."""
+    """The client of a request disconnected; a request of the same id from another client is not affected."""
 
     request: str
     client: ClientConnection
 
 
 class EndpointsChanged(NamedTuple):
-    """A change of the worker list, with the worker connections of the directory that reports it."""
+    """A directory reports a change of its workers."""
 
     update: api.WorkerList
-    connections: Mapping[int, WorkerConnection]
-    source: str = "map"
+    connections: Mapping[int, WorkerConnection]  # of all workers in the directory, by scheduler id
+    source: str = "discovery"  # name of the directory
 
 
 class AttemptProgress(NamedTuple):
-    """A worker reports progress; has_started is true when the job has just started."""
+    """A worker reports progress of an attempt; has_started: the job has just started."""
 
     request: str
     number: int
@@ -210,14 +232,14 @@
 
 
 class AttemptAccepted(NamedTuple):
-    """A worker has accepted a delivery attempt, which may still be queued there."""
+    """A worker has accepted a delivery attempt; the job may still be queued there."""
 
     request: str
     number: int
 
 
 class AttemptRecorded(NamedTuple):
-    """Whether an attempt that had to be recorded first may be sent."""
+    """The recorder has answered for the intent of an attempt: it may be sent or not."""
 
     request: str
     number: int
@@ -225,25 +247,25 @@
 
 
 class LastByteSent(NamedTuple):
-    """An attempt's last byte is written; posted for each attempt, also if it was cancelled meanwhile."""
+    """The last byte of an attempt was written; also posted if the attempt was cancelled meanwhile."""
 
     request: str
     number: int
 
 
 class AttemptEnded(NamedTuple):
-    """How a delivery attempt ended."""
+    """A delivery attempt has ended with this result."""
 
     request: str
     number: int
     result: api.Result
     body: bytes = b""
-    report: tuple[float, ...] | None = None
+    report: tuple[float, ...] | None = None  # values of the worker's load report
     is_unsent: bool = False  # its last byte was certainly not written, and will not be
 
 
 class ProbeEnded(NamedTuple):
-    """How a probe ended."""
+    """A probe has ended."""
 
     result: api.ProbeResult
 
@@ -256,7 +278,7 @@
 
 
 class TimerExpired(NamedTuple):
-    """A timer of a scheduler has expired; scheduler None stands for the one in use."""
+    """A timer of a scheduler has expired; None stands for the scheduler of the current policy."""
 
     token: int
     scheduler: Any = None
--- a/spanwing/core/request_manager.py
+++ b/spanwing/core/request_manager.py
@@ -41,7 +41,7 @@
 )
 from spanwing.core.send_guard import SendGuard, SendRefusal
 
-DISCOVERY_SOURCE = "map"  # the directory of the workers that discovery names
+DISCOVERY_SOURCE = "discovery"  # name of the directory whose workers come from discovery
 JOURNAL_RETRY_AFTER_MS = 1000.0  # Retry-After for work that the journal cannot record
 # An attempt expires this long before its request's deadline, so that its outcome comes first.
 TIMEOUT_MARGIN_MS = 1.0
