--- a/spanwing/core/request_manager.py
+++ b/spanwing/core/request_manager.py
@@ -1,4 +1,8 @@
-"""The actor around the scheduler: requests in, delivery attempts out, exactly one answer each."""
+"""The request manager: the actor that runs the scheduler and owns the pending requests.
+
+It passes events (submitted requests, results of attempts, changes of the worker list) to the scheduler,
+carries out the actions that the scheduler returns, and gives each request exactly one final answer.
+"""
 
 from __future__ import annotations
 
@@ -42,75 +46,78 @@
 from spanwing.core.send_guard import SendGuard, SendRefusal
 
 DISCOVERY_SOURCE = "discovery"  # name of the directory whose workers come from discovery
-JOURNAL_RETRY_AFTER_MS = 1000.0  # Retry-After for work that the journal cannot record
-# An attempt expires this long before its request's deadline, so that its outcome comes first.
+JOURNAL_RETRY_AFTER_MS = 1000.0  # Retry-After for requests that the journal cannot record
+# An attempt expires this long before its request's deadline, so that its result is handled first.
 TIMEOUT_MARGIN_MS = 1.0
 
-log = logging.getLogger("spanwing")
+logger = logging.getLogger("spanwing")
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that still owes its answer."""
+    """An accepted request without a final answer. Times are those of the scheduler's clock."""
 
     request: JobRequest
     client: ClientConnection
     deadline_ms: float
-    attempt_count: int = 0
-    # No attempt may be sent later: workers would no longer drop it as a repeat.
+    attempt_count: int = 0  # attempts begun, which is the number of the next one
+    # End of the deduplication window: workers would no longer drop a repeat that is sent later.
     send_until_ms: float = math.inf
-    may_have_run: bool = False  # an attempt ended that may have run
+    may_have_run: bool = False  # an attempt has ended that may have run the job
 
 
 @dataclass(slots=True)
 class InFlightAttempt:
-    """A delivery attempt that has not ended."""
+    """A delivery attempt that has not ended. Times are those of the scheduler's clock."""
 
-    connection: WorkerConnection | None
-    worker: int
+    connection: WorkerConnection | None  # None: the worker is in no directory any more
+    worker: int  # scheduler id of the worker
     forwarded_ms: float
     expires_ms: float
-    timer: object
-    is_recorded: bool = False  # its intent was passed to the journal
-    awaits_record: bool = False  # for its intent to be on disk; the worker connection does not have it yet
-    to_discovered_worker: bool = False  # the worker is one that discovery named
+    timer: object  # posts AttemptExpired at expires_ms
+    is_recorded: bool = False  # the intent was passed to the journal
+    awaits_record: bool = False  # not delivered to the worker connection until the intent is on disk
+    to_discovered_worker: bool = False  # the worker is from discovery's endpoint list
 
 
 class RequestManager(Actor):
-    """Owns the scheduler, the deadlines and the counters."""
+    """Owns the scheduler, the pending requests, the attempts in flight and the counters."""
 
     def __init__(self, settings: api.Settings, seed: int, clock: Clock) -> None:
         super().__init__()
         self.settings, self.clock = settings, clock
         self.scheduler = Dispatcher(settings, seed, clock.now_ms())
+        # Requests of a safe class may run twice, those of an unsafe class must not. A keyed class is in no
+        # set: workers drop a repeat by its idempotency key within the deduplication window.
         self.safe_classes = {each.name for each in settings.classes if each.effect == "safe"}
         self.unsafe_classes = {each.name for each in settings.classes if each.effect == "unsafe"}
-        self.recorder: AttemptRecorder | None = None
+        self.recorder: AttemptRecorder | None = None  # the journal; None: nothing is recorded
         self.journal_retry_after_ms = min(JOURNAL_RETRY_AFTER_MS, settings.max_retry_after)
         self.directory: EndpointDirectory | None = None
         self.zone_routing: ZoneRouting | None = None
         self.policy_admission: PolicyAdmission | None = None
-        # Schedulers of earlier policies decide to the end about the requests that they accepted.
+        # Schedulers of earlier policies continue to decide about the requests that they accepted.
         self.retiring_schedulers: list[Dispatcher] = []
-        self.scheduler_by_request: dict[str, Dispatcher] = {}
-        self.acting_scheduler = self.scheduler
+        self.scheduler_by_request: dict[str, Dispatcher] = {}  # only requests of retiring schedulers
+        self.acting_scheduler = self.scheduler  # the scheduler whose actions are being carried out
         self.pending_requests: dict[str, PendingRequest] = {}
-        self.in_flight: dict[tuple[str, int], InFlightAttempt] = {}
-        self.connections_by_source: dict[str, Mapping[int, WorkerConnection]] = {}  # source: the directory
-        self.announced_ids: dict[str, set[int]] = {}  # by source: the workers that the scheduler knows of
+        self.in_flight: dict[tuple[str, int], InFlightAttempt] = {}  # by request id and attempt number
+        # By name of the directory: its worker connections, and those worker ids that the scheduler knows.
+        self.connections_by_source: dict[str, Mapping[int, WorkerConnection]] = {}
+        self.announced_ids: dict[str, set[int]] = {}
         self.counters: Counter[str] = Counter()
         self.guard = SendGuard(self, self.counters)
-        self.remote_open_ids: Container[str] = ()  # ids open in the other process of a hot restart
-        # Called with an id and True as it opens here, and with False as it ends.
+        self.remote_open_ids: Container[str] = ()  # requests open in the other process of a hot restart
+        # Called with a request id and True when the request opens here, and with False when it ends.
         self.on_open_change: Callable[[str, bool], None] | None = None
-        self.idle_waiters: list[Future[None]] = []
+        self.idle_waiters: list[Future[None]] = []  # of wait_until_idle()
         # Called after each change of the worker list.
         self.on_endpoints_changed: Callable[[], None] | None = None
-        self.endpoints_known = False  # a worker list came that is not empty, or is complete
-        self.last_discovery_report_s = self.loop.time()  # loop time; the start if none came
+        self.endpoints_known = False  # a worker list that is complete or not empty has been received
+        self.last_discovery_report_s = self.loop.time()  # loop time; the start until discovery reports
 
     def handle_message(self, message: Any) -> None:
-        """Handles one message, and wakes the waiters once nothing is open."""
+        """Handles one message, then resolves the futures of wait_until_idle() if nothing is open."""
         MESSAGE_HANDLERS[type(message)](self, message)
         if self.idle_waiters and self.is_idle():
             for waiting in self.idle_waiters:
@@ -118,8 +125,9 @@
             self.idle_waiters = []
 
     def worker_counts(self) -> dict[tuple[str, str], tuple[int, int]]:
-        """Returns by zone and kind how many workers are listed, and how many of them accept new work now: a
-        draining or ejected worker accepts none.
+        """Returns by zone and kind the numbers of listed workers and of those that accept new work now.
+
+        A draining or ejected worker accepts no new work.
         """
         counts: dict[tuple[str, str], tuple[int, int]] = {}
         now_ms = self.clock.now_ms()
@@ -132,14 +140,15 @@
         return counts
 
     def pool_counts(self) -> tuple[int, int]:
-        """Returns how many workers are listed, and how many of them are ejected now."""
+        """Returns the number of listed workers, and the number of those that are ejected now."""
         now_ms = self.clock.now_ms()
         workers = [view for view in self.scheduler.views.values() if view.entry.state != "gone"]
         return len(workers), sum(view.rest_until > now_ms for view in workers)
 
     def queued_by_class(self) -> dict[str, tuple[int, float]]:
-        """Returns by class the number of queued requests and the age of the oldest in ms; classes without
-        queued requests are left out.
+        """Returns by class the number of queued requests and the age of the oldest, in ms.
+
+        Classes without queued requests are left out.
         """
         if not self.scheduler.waiting:
             return {}
@@ -151,7 +160,7 @@
         return queued
 
     def unavailable_classes(self) -> dict[str, str]:
-        """Returns the classes of which all requests are rejected now, with the reason."""
+        """Returns the reason, by class, for the classes whose requests are all rejected now."""
         reason = self.recorder.unavailable_reason() if self.recorder is not None else ""
         return {
             each.name: f"journal: {reason}"
@@ -160,17 +169,15 @@
         }
 
     def discovery_age_s(self) -> float:
-        """Returns the seconds since discovery last reported anything, or since the start."""
+        """Returns the seconds since discovery last reported its endpoint list, or since the start."""
         return self.loop.time() - self.last_discovery_report_s
 
     def is_idle(self) -> bool:
-        """Returns whether nothing is pending, in flight or in the mailbox."""
+        """Returns whether no request is pending, no attempt is in flight and the mailbox is empty."""
         return not self.pending_requests and not self.in_flight and not self.mailbox
 
     def wait_until_idle(self) -> Future[None]:
-        """Returns a future that is done once every accepted request is answered and no attempt is in
-        flight.
-        """
+        """Returns a future that is done once the request manager is idle."""
         waiter: Future[None] = Future()
         if self.is_idle():
             waiter.set_result(None)
@@ -179,6 +186,7 @@
         return waiter
 
     def _dispatch_event(self, event: api.Event, scheduler: Dispatcher | None = None) -> None:
+        """Passes an event to a scheduler and carries out its actions; default: the current scheduler."""
         previous, self.acting_scheduler = self.acting_scheduler, scheduler or self.scheduler
         for action in self.acting_scheduler.handle(self.clock.now_ms(), event):
             ACTION_HANDLERS[type(action)](self, action)
@@ -200,8 +208,10 @@
         )
 
     def switch_policy(self, settings: api.Settings, scheduler: Dispatcher) -> None:
-        """Puts another policy into force within this turn of the loop: its scheduler decides about new
-        requests, the previous one continues with those that it accepted.
+        """Switches to another policy within this turn of the event loop.
+
+        The new scheduler decides about new requests; the previous one continues to decide about those that it
+        accepted, and retires once they have ended.
         """
         previous = self.scheduler
         self.scheduler_by_request.update(
@@ -214,14 +224,15 @@
         self._update_class_sets()
 
     def _update_class_sets(self) -> None:
-        """Recomputes the class sets from all policies under which requests are open. Where they differ the
-        stricter one counts: a class is safe only if it is safe in all of them, and unsafe if it is so in
-        any.
+        """Recomputes the class sets from all policies under which requests are open.
+
+        Where the policies differ, the strictest one counts: a class is safe only if it is safe in all of
+        them, and unsafe if it is unsafe in any.
         """
         class_effects = [
             (each.name, each.effect)
-            for module in (*self.retiring_schedulers, self.scheduler)
-            for each in module.set.classes
+            for scheduler in (*self.retiring_schedulers, self.scheduler)
+            for each in scheduler.set.classes
         ]
         self.unsafe_classes = {name for name, effect in class_effects if effect == "unsafe"}
         self.safe_classes = {name for name, effect in class_effects if effect == "safe"} - {
@@ -229,23 +240,24 @@
         }
 
     def _drop_retired_schedulers(self) -> None:
-        """Drops retiring schedulers all of whose requests have ended."""
+        """Drops the retiring schedulers whose requests have all ended."""
         remaining = [each for each in self.retiring_schedulers if each.jobs or each.open]
         if len(remaining) < len(self.retiring_schedulers):
             self.retiring_schedulers = remaining
             self.scheduler_by_request = {
-                request: module
-                for request, module in self.scheduler_by_request.items()
-                if module in remaining
+                request: scheduler
+                for request, scheduler in self.scheduler_by_request.items()
+                if scheduler in remaining
             }
             self._update_class_sets()
 
     def _handle_submitted(self, submission: RequestSubmitted) -> None:
+        """Accepts a request, or answers it at once if its id is in use or it cannot be recorded."""
         request = submission.request
         if self.policy_admission is not None and not self.policy_admission.admit(submission):
             return
-        # The earlier request of this id still owes its answer or has an attempt in flight, and must run once;
-        # another client that uses the same id must not disturb it.
+        # The earlier request of this id is not answered yet, or has an attempt in flight. It must run once,
+        # and another client that uses the same id must not affect it.
         if request.id in self.remote_open_ids or self._is_open(request.id):
             self._answer_repeated(submission, "")
             return
@@ -270,7 +282,7 @@
                 request.front,
                 request.budget,
             )
-        if self.scheduler_by_request:  # an earlier request of this id has ended, under whichever policy
+        if self.scheduler_by_request:  # an earlier request of this id, under an earlier policy, has ended
             self.scheduler_by_request.pop(request.id, None)
         deadline_ms = self.clock.now_ms() + request.budget
         self.pending_requests[request.id] = PendingRequest(request, submission.client, deadline_ms)
@@ -293,13 +305,14 @@
         )
 
     def _is_open(self, request: str) -> bool:
+        """Returns whether the request is pending or has an attempt in flight."""
         return request in self.pending_requests or any(
             (request, number) in self.in_flight
             for number in range(self._scheduler_of(request).set.max_attempts)
         )
 
     def open_ids(self) -> set[str]:
-        """Returns the ids of requests that owe their answer or have an attempt in flight."""
+        """Returns the ids of the requests that are pending or have an attempt in flight."""
         return {*self.pending_requests, *(request for request, _ in self.in_flight)}
 
     def in_flight_attempts(self, request: str) -> list[tuple[int, InFlightAttempt]]:
@@ -311,8 +324,9 @@
         ]
 
     def release_request(self, request: str) -> None:
-        """Forgets a request that another process has taken over, with its attempts in flight; that process
-        owes the answer from now on.
+        """Drops a request and its attempts in flight after another process has taken them over.
+
+        The other process gives the answer from now on.
         """
         del self.pending_requests[request]
         for number, attempt in self.in_flight_attempts(request):
@@ -323,9 +337,10 @@
     def resume_request(
         self, pending: PendingRequest, numbered_attempt: tuple[int, InFlightAttempt] | None, event: Any
     ) -> None:
-        """Takes over a request from another process.
+        """Takes over a pending request from another process.
 
-        numbered_attempt: its attempt in flight, with its number; event: what the scheduler is notified of.
+        numbered_attempt: the request's attempt in flight, with its number, if there is one; event: the event
+        that tells the scheduler of the request.
         """
         request, now_ms = pending.request.id, self.clock.now_ms()
         self.pending_requests[request] = pending
@@ -338,10 +353,12 @@
         self._dispatch_event(event)
 
     def _notify_ended(self, request: str) -> None:
+        """Calls on_open_change if the request is not open any more."""
         if self.on_open_change is not None and not self._is_open(request):
             self.on_open_change(request, False)
 
     def _answer_repeated(self, submission: RequestSubmitted, earlier_state: str) -> None:
+        """Answers a request whose id was accepted before; earlier_state is the journal's text, or empty."""
         self.counters["repeated"] += 1
         self.counters[f"repeated.{submission.request.cls}"] += 1
         submission.client.answer(submission.request, FinalAnswer("repeated", earlier_state.encode()))
@@ -350,9 +367,11 @@
         self.counters[f"turned.{message.class_name}"] += 1
 
     def _needs_record(self, request: JobRequest) -> bool:
+        """Returns whether the request and its attempts are recorded in the journal."""
         return self.recorder is not None and request.cls not in self.safe_classes
 
     def _handle_client_disconnected(self, message: ClientDisconnected) -> None:
+        """Drops a pending request whose client has disconnected, and withdraws its attempts."""
         pending = self.pending_requests.get(message.request)
         if pending is None and self.policy_admission is not None:
             self.policy_admission.client_disconnected(message.request, message.client)
@@ -366,9 +385,10 @@
             self._notify_ended(message.request)
 
     def _withdraw_attempts(self, request: str) -> None:
-        """Withdraws the attempts of a request that is owed nothing any more: what is not yet sent is not
-        forwarded, even where the settings allow no cancellation. What has been sent follows the rules of
-        its class.
+        """Withdraws the attempts of a request that needs no answer any more.
+
+        An attempt that is not sent yet is never sent, even where the settings allow no cancellation. An
+        attempt that was sent follows the rules of its class.
         """
         for number, attempt in self.in_flight_attempts(request):
             if attempt.awaits_record:
@@ -377,6 +397,7 @@
                 attempt.connection.withdraw(request, number)
 
     def _handle_endpoints_changed(self, message: EndpointsChanged) -> None:
+        """Passes a change of a directory to the schedulers; with several directories, as a partial list."""
         update, announced = message.update, self.announced_ids.setdefault(message.source, set())
         self.connections_by_source[message.source] = message.connections
         self.counters[f"listed.{update.scope}"] += 1
@@ -385,7 +406,7 @@
             if update.scope != "persisted" and message.source == DISCOVERY_SOURCE:
                 self.last_discovery_report_s = self.loop.time()
         if update.scope in ("complete", "persisted") and len(self.connections_by_source) > 1:
-            # A complete list of one directory says nothing about the workers of another.
+            # A complete list of one directory does not cover the workers of the others.
             listed_ids = {each.id for each in update.workers}
             gone = [api.Worker(worker, "gone") for worker in announced - listed_ids]
             update = api.WorkerList("partial", (*update.workers, *gone))
@@ -403,6 +424,7 @@
             self.on_endpoints_changed()
 
     def _connection_to(self, worker_id: int) -> WorkerConnection | None:
+        """Returns the connection to a worker from any directory, or None."""
         directories = self.connections_by_source.values()
         found = (directory.get(worker_id) for directory in directories)
         return next((connection for connection in found if connection is not None), None)
@@ -425,19 +447,21 @@
         self._cancel_attempt(*message, "timeout")
 
     def _cancel_attempt(self, request: str, number: int, result: api.Result) -> None:
+        """Cancels an attempt with this result; does nothing if it is not in flight."""
         attempt = self.in_flight.get((request, number))
         if attempt is None or attempt.connection is None:
             return
         if attempt.is_recorded:
             self.recorder.record_cancelled(request, number, result)
-        if attempt.awaits_record:  # the worker connection does not have it: it ends here
+        if attempt.awaits_record:  # not delivered to the worker connection yet, so it ends here
             attempt.awaits_record = False
             self.post(AttemptEnded(request, number, "moot", is_unsent=True))
         else:
             attempt.connection.cancel(request, number, result)
 
     def _handle_attempt_ended(self, message: AttemptEnded) -> None:
-        # A further message about an attempt that has ended (a repeated callback) changes nothing.
+        """Records the result of an attempt, answers the request if it is ok, and informs the scheduler."""
+        # Further messages about an attempt that has ended, such as a repeated callback, are ignored.
         attempt = self.in_flight.pop((message.request, message.number), None)
         if attempt is None:
             return
@@ -469,10 +493,11 @@
     def _handle_last_byte(self, message: LastByteSent) -> None:
         self.counters["tries"] += 1
         attempt = self.in_flight.get(message[:2])
-        if attempt is not None and attempt.is_recorded:  # of an ended attempt nothing more is recorded
+        if attempt is not None and attempt.is_recorded:  # nothing is recorded after an attempt has ended
             self.recorder.record_last_byte(*message)
 
     def _answer_request(self, request: str, answer: FinalAnswer) -> None:
+        """Answers a pending request and withdraws its attempts; does nothing if it is not pending."""
         pending = self.pending_requests.pop(request, None)
         if pending is not None:
             self.counters["answered"] += 1
@@ -484,6 +509,11 @@
             self._notify_ended(request)
 
     def _forward(self, action: api.Send) -> None:
+        """Begins the attempt that a Send action of the scheduler asks for.
+
+        The attempt is registered as in flight first, so that one that cannot be sent ends like any other, as
+        moot. If its intent has to be recorded, it is delivered once the record is on disk.
+        """
         pending, now_ms = self.pending_requests[action.request], self.clock.now_ms()
         number, pending.attempt_count = pending.attempt_count, pending.attempt_count + 1
         timeout_ms = pending.deadline_ms - now_ms - TIMEOUT_MARGIN_MS
@@ -521,13 +551,13 @@
             return
         if connection.records_intent_itself:
 
-            def record_intent(then: Callable[[bool], None]) -> None:
+            def record_intent(on_recorded: Callable[[bool], None]) -> None:
                 attempt.is_recorded = True
                 self.recorder.record_intent(
                     *key,
                     connection.name,
                     connection.address,
-                    partial(self._handle_intent_recorded, key, then),
+                    partial(self._handle_intent_recorded, key, on_recorded),
                 )
 
             connection.deliver(
@@ -548,9 +578,10 @@
         )
 
     def attempt_may_have_run(self, pending: PendingRequest, forwarded_ms: float) -> None:
-        """Notes that an attempt forwarded at this time (Unix ms) may have run. For a class with an
-        idempotency key, further attempts may be sent only within its deduplication window, less one
-        tick.
+        """Marks the request as possibly run by an attempt that was forwarded at this time (Unix ms).
+
+        For a class with idempotency keys, further attempts may be sent only within the deduplication window
+        from that time, less one tick of the settings.
         """
         pending.may_have_run = True
         scheduler = self._scheduler_of(pending.request.id)
@@ -561,14 +592,15 @@
                 )
 
     def to_discovered_worker(self, request: str, number: int) -> bool:
-        """Returns whether the attempt goes to a worker that discovery named."""
+        """Returns whether the attempt goes to a worker from discovery's endpoint list."""
         attempt = self.in_flight.get((request, number))
         return attempt is not None and attempt.to_discovered_worker
 
     def send_refusal(self, request: str, number: int) -> SendRefusal | None:
-        """Returns why this attempt may not be sent now; None: it may.
+        """Returns why this attempt may not be sent now, or None if it may.
 
-        The waits for a connection slot, a connection and the journal may have outlasted the decision.
+        The scheduler decided before the waits for a connection slot, a connection and the journal, so its
+        decision may be outdated.
         """
         pending, attempt = self.pending_requests.get(request), self.in_flight.get((request, number))
         if pending is None:
@@ -592,15 +624,20 @@
     def _handle_intent_recorded(
         self, key: tuple[str, int], on_recorded: Callable[[bool], None] | None, may_send: bool
     ) -> None:
-        """Handles the journal's answer on an intent; on_recorded: the worker connection's callback, if it
-        asked. AttemptRecorded is posted first, so a rejection is answered before the attempt ends.
+        """Handles the journal's answer for an intent.
+
+        on_recorded: the callback of a worker connection that records its intents itself, else None. It is
+        called after AttemptRecorded is posted, so that the request is rejected before the attempt ends.
         """
         self.post(AttemptRecorded(*key, may_send))
         if on_recorded is not None:
             on_recorded(may_send)
 
     def _handle_recorded(self, message: AttemptRecorded) -> None:
-        """Handles an attempt whose intent is on disk, or cannot be; it may have been cancelled meanwhile."""
+        """Delivers an attempt whose intent is recorded, or rejects its request if it cannot be recorded.
+
+        The attempt may have been cancelled meanwhile.
+        """
         key = message[:2]
         attempt, pending = self.in_flight.get(key), self.pending_requests.get(message.request)
         if attempt is None:
@@ -610,7 +647,7 @@
             self._answer_request(
                 message.request, FinalAnswer("refused", retry_after_ms=self.journal_retry_after_ms)
             )
-        if not attempt.awaits_record:  # the worker connection asked, and continues or ends the attempt itself
+        if not attempt.awaits_record:  # the worker connection recorded the intent, and proceeds by itself
             return
         attempt.awaits_record = False
         if pending is None or not message.may_send:
@@ -643,12 +680,13 @@
         self._dispatch_to_all(message.result)
 
     def notify_schedulers(self, event: Any) -> None:
-        """Passes an event from outside the request manager to every scheduler."""
+        """Passes an event from another component to every scheduler, including the retiring ones."""
         self._dispatch_to_all(event)
 
     def cancel_idempotent(self, request: str, number: int) -> None:
-        """Cancels an attempt of a safe class if it is in flight and its answer is still owed; it may be
-        retried anywhere.
+        """Cancels an attempt in flight if its request is pending and of a safe class.
+
+        The scheduler may then retry the request on any worker.
         """
         pending = self.pending_requests.get(request)
         if pending is not None and pending.request.cls in self.safe_classes:
@@ -660,6 +698,7 @@
         )
 
     def _handle_timer(self, message: TimerExpired) -> None:
+        """Passes an expired timer to its scheduler, unless that has retired meanwhile."""
         if (
             message.scheduler is None
             or message.scheduler is self.scheduler
@@ -668,10 +707,10 @@
             self._dispatch_event(api.TimerDue(message.token), message.scheduler)
 
     def _log_line(self, action: api.Log) -> None:
-        log.info("%s", action.line)
+        logger.info("%s", action.line)
 
     def _broadcast_to_peers(self, action: api.TellPeers) -> None:
-        log.warning("peers cannot be told here: %s", action.payload)
+        logger.warning("sending messages to peers is not supported; dropped message: %s", action.payload)
 
 
 MESSAGE_HANDLERS = {
@@ -692,10 +731,10 @@
     api.Send: RequestManager._forward,
     api.Cancel: RequestManager._handle_cancel,
     api.Probe: RequestManager._handle_probe,
-    api.Refuse: lambda self, a: self._answer_request(
-        a.request, FinalAnswer("refused", retry_after_ms=a.retry_after)
+    api.Refuse: lambda self, action: self._answer_request(
+        action.request, FinalAnswer("refused", retry_after_ms=action.retry_after)
     ),
-    api.Fail: lambda self, a: self._answer_request(a.request, FinalAnswer("failed")),
+    api.Fail: lambda self, action: self._answer_request(action.request, FinalAnswer("failed")),
     api.SetTimer: RequestManager._set_timer,
     api.Log: RequestManager._log_line,
     api.TellPeers: RequestManager._broadcast_to_peers,
