--- a/spanwing/core/request_manager.py
+++ b/spanwing/core/request_manager.py
@@ -87,8 +87,8 @@
         super().__init__()
         self.settings, self.clock = settings, clock
         self.scheduler = Dispatcher(settings, seed, clock.now_ms())
-        # Requests of a safe class may run twice, those of an unsafe class must not. A keyed class is in no
-        # set: workers drop a repeat by its idempotency key within the deduplication window.
+        # Requests of a safe class may run twice, those of an unsafe class must not. Keyed classes are in
+        # neither set: workers drop a repeat by its idempotency key within the deduplication window.
         self.safe_classes = {each.name for each in settings.classes if each.effect == "safe"}
         self.unsafe_classes = {each.name for each in settings.classes if each.effect == "unsafe"}
         self.recorder: AttemptRecorder | None = None  # the journal; None: nothing is recorded
--- a/spanwing/workers/__init__.py
+++ b/spanwing/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to workers over HTTP and Faktory, and their pools."""
+"""Connections to workers over HTTP and Faktory, and the connection pool of HTTP workers."""
--- a/spanwing/workers/load_report.py
+++ b/spanwing/workers/load_report.py
@@ -1,10 +1,10 @@
-"""Load reports of workers: in a header, in a callback object or as the body of a probe's response."""
+"""Decoding of workers' load reports: from a header, a callback, or the body of a probe's response."""
 
 from __future__ import annotations
 
 import msgspec
 
-#: Names of a report's values on the wire, and the scheduler's names for them.
+#: By the name of a value on the wire, the scheduler's name for it. Other names are used as they are.
 REPORT_FIELD_NAMES = {
     "x0": "free_slots",
     "x1": "free_memory",
@@ -18,22 +18,28 @@
 
 
 class LoadReportReader:
-    """Returns a report's values in the order in which the settings name them."""
+    """Decodes load reports to tuples of values, in the order in which the settings name the fields."""
 
     def __init__(self, field_names: tuple[str, ...]) -> None:
         self.field_names = tuple(REPORT_FIELD_NAMES.get(name, name) for name in field_names)
 
     def read_values(self, report: dict[str, float] | None) -> tuple[float, ...] | None:
-        """Returns the values, or None if the report is absent or lacks one."""
+        """Returns the configured values of a report.
+
+        Returns None if the report is absent, if it lacks one of the values, or if no fields are configured.
+        """
         if not report or not self.field_names:
             return None
-        named = {REPORT_FIELD_NAMES.get(name, name): value for name, value in report.items()}
-        if any(name not in named for name in self.field_names):
+        values = {REPORT_FIELD_NAMES.get(name, name): value for name, value in report.items()}
+        if any(name not in values for name in self.field_names):
             return None
-        return tuple(named[name] for name in self.field_names)
+        return tuple(values[name] for name in self.field_names)
 
     def read_text(self, text: str) -> tuple[float, ...] | None:
-        """Parses `TEXT name=value, name=value` or a JSON object of numbers; None if it cannot."""
+        """Parses a report of the form `TEXT name=value, name=value` or a JSON object of numbers.
+
+        Returns None if the text is malformed, and where read_values() does.
+        """
         try:
             if text.lstrip().startswith("{"):
                 return self.read_values(msgspec.json.decode(text, type=dict[str, float]))
