--- a/spanwing/workers/connection_pool.py
+++ b/spanwing/workers/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to one worker, kept open between delivery attempts."""
+"""The pool of HTTP connections to one worker, which stay open between delivery attempts."""
 
 from __future__ import annotations
 
@@ -19,27 +19,27 @@
 from spanwing.net.http import HttpStream
 from spanwing.net.tcp_stream import TcpStream
 
-IDLE_TIMEOUT_FRACTION = 0.6  # of the idle time allowed: a timer that fires late must still be in time
-MAX_CONNECT_ATTEMPTS = 2  # attempts to open one connection, at most
+IDLE_TIMEOUT_FRACTION = 0.6  # of the configured idle time, so that a timer that fires late is still in time
+MAX_CONNECT_ATTEMPTS = 2  # per connection
 MAX_IDLE_CONNECTIONS = 3  # idle connections kept open to one worker
 MIN_IDLE_TIMEOUT_S = 0.02  # lower bound of the adaptive idle timeout
-MAX_CONNECTIONS = 12  # connections in use to one worker; further attempts wait for one
+MAX_CONNECTIONS = 12  # connections in use to one worker; further attempts wait for a slot
 
 
 class GuardedStream(TcpStream):
-    """Checks, each time bytes are handed to the kernel, whether they may still be sent.
+    """A stream that checks before each write to the socket whether the bytes may still be sent.
 
-    Bytes that the kernel had no room for are buffered here, perhaps past the end of the permission under
-    which they were written.
+    Bytes that do not fit into the kernel's send buffer stay in the stream's buffer. The permission under
+    which they were written may end before there is room for them.
     """
 
-    permit: Callable[[], bool] | None = None  # None: always permitted
+    permit: Callable[[], bool] | None = None  # returns whether bytes may be sent; None: they always may
 
     def write_to_fd(self, data: memoryview) -> int:
-        """Writes to the socket; raises ConnectionAbortedError if the permission has ended."""
+        """Writes to the socket; raises ConnectionAbortedError if the bytes may no longer be sent."""
         if self.permit is not None and not self.permit():
-            del data  # the traceback must not keep the buffer
-            raise ConnectionAbortedError(errno.ECONNABORTED, "may not be sent any more")
+            del data  # else the traceback would keep a reference to the buffer
+            raise ConnectionAbortedError(errno.ECONNABORTED, "the attempt may no longer be sent")
         return super().write_to_fd(data)
 
 
@@ -47,44 +47,43 @@
     """An HTTP connection to a worker."""
 
     stream: GuardedStream
-    idle_s = 0.0  # idle time before the present use; 0: new connection
-    is_shut_down = False  # the write side is closed
-    is_garbled = False  # its response was malformed or cut off here
+    idle_before_use_s = 0.0  # idle time before the current use; 0: a new connection
+    is_write_shut_down = False  # the write side is closed
+    is_response_invalid = False  # the response is malformed, or was cut off by this side
 
     def shut_down_writing(self) -> None:
-        """Closes the write side (FIN); what the peer still sends can be read."""
-        self.is_shut_down = True
+        """Closes the write side (FIN). Data from the worker can still be read."""
+        self.is_write_shut_down = True
         if not self.stream.closed():
-            with suppress(OSError):  # the peer may just have reset it
+            with suppress(OSError):  # the worker may just have reset the connection
                 self.stream.socket.shutdown(socket.SHUT_WR)
 
     def abort(self) -> None:
-        """Closes the connection, even in the middle of a response."""
+        """Closes the connection; a response that is only partly read then counts as invalid."""
         if not self.stream.closed():
-            self.is_garbled = not self.parser.is_idle()
+            self.is_response_invalid = not self.parser.is_idle()
             self.close()
 
 
 class DescriptorBudget:
-    """Limits the open connections of the pools of all workers together.
+    """Limits the number of open connections of all pools together.
 
-    At the limit the oldest idle connection of any pool is closed to make room.
+    At the limit, the oldest idle connection of any pool is closed to make room.
     """
 
     def __init__(self, max_open: int) -> None:
         self.max_open, self.open_count = max_open, 0
-        self.idle_connections: dict[
-            PooledConnection, Callable[[], None]
-        ] = {}  # oldest first, with the callback that closes it
+        # The idle connections of all pools, oldest first, with the callbacks that close them.
+        self.idle_connections: dict[PooledConnection, Callable[[], None]] = {}
 
     def set_limit(self, max_open: int) -> None:
-        """Sets another limit; idle connections beyond it are closed at once."""
+        """Changes the limit; idle connections beyond it are closed at once."""
         self.max_open = max_open
         while self.open_count > max_open and self.idle_connections:
             next(iter(self.idle_connections.values()))()
 
     def acquire(self) -> bool:
-        """Reserves one more connection; returns False if the limit is reached."""
+        """Reserves a descriptor for one more connection; returns False if the limit is reached."""
         if self.open_count >= self.max_open and self.idle_connections:
             next(iter(self.idle_connections.values()))()
         if self.open_count >= self.max_open:
@@ -94,7 +93,7 @@
 
 
 class ConnectionPool:
-    """Hands out idle connections that are certainly not stale, and opens new ones."""
+    """The connections to one worker: reuses idle ones that are not stale, and opens new ones."""
 
     def __init__(
         self,
@@ -104,31 +103,31 @@
         idle_timeout_ms: float,
         connect_timeout_ms: float,
     ) -> None:
+        """idle_timeout_ms: after this idle time the worker may close a connection."""
         self.address, self.buffers, self.descriptors = address, buffers, descriptors
         self.max_idle_timeout_s, self.connect_timeout_s = (
             idle_timeout_ms * IDLE_TIMEOUT_FRACTION / 1000.0,
             connect_timeout_ms / 1000.0,
         )
-        self.idle_timeout_s = (
-            self.max_idle_timeout_s
-        )  # shorter while the worker drops idle connections silently
+        # Adapted by record_outcome(): shorter while the worker drops idle connections silently.
+        self.idle_timeout_s = self.max_idle_timeout_s
         self.loop = IOLoop.current()
-        self.idle_connections: dict[
-            PooledConnection, tuple[float, object]
-        ] = {}  # idle since (loop time), and the expiry timer
+        # By idle connection: the loop time since which it is idle, and its expiry timer. Oldest first.
+        self.idle_connections: dict[PooledConnection, tuple[float, object]] = {}
         self.connection_slots = Semaphore(MAX_CONNECTIONS)
-        #: The worker has sent unsolicited data, such as a second response to one request. The next such might
-        #: be taken for the response to another request, so each connection carries one request only.
+        #: The worker has sent unsolicited data, such as a second response to one request. More of it could be
+        #: taken for the response to another request, so from then on each connection carries one request
+        #: only.
         self.had_unsolicited_data = False
 
     async def acquire(
         self, new_only: bool = False, is_wanted: Callable[[], bool] = lambda: True
     ) -> PooledConnection | None:
-        """Returns a connection to write on; with new_only a new one.
+        """Returns a connection that is ready for a request; with new_only, a new one.
 
         Waits up to the connect timeout for a slot, and as long again for each of at most MAX_CONNECT_ATTEMPTS
-        connects. Returns None if none could be had in that time, or if is_wanted() no longer holds. The
-        caller must release() or discard() it.
+        connects. Returns None if there is no connection in that time, if no descriptor is left, or if
+        is_wanted() is False before a connect. The caller must release() or discard() the connection.
         """
         try:
             await self.connection_slots.acquire(timedelta(seconds=self.connect_timeout_s))
@@ -137,23 +136,24 @@
         while self.idle_connections and not new_only:
             connection = next(reversed(self.idle_connections))
             idle_since_s = self._remove_idle(connection)
-            # A request written to a connection that the worker has closed may count as run: never write
-            # on one that was idle too long or that the kernel reports as closed.
+            # A request that is written to a connection which the worker has closed may have to count as run.
+            # Connections that were idle for too long, or that the kernel reports as closed, are not used.
             if self.loop.time() - idle_since_s < self.idle_timeout_s and connection.is_reusable():
-                connection.idle_s = self.loop.time() - idle_since_s
+                connection.idle_before_use_s = self.loop.time() - idle_since_s
                 return connection
             self.had_unsolicited_data |= not (
                 connection.has_no_pending_input() or connection.has_peer_closed()
             )
             self._close(connection)
-        # A reset of a connection just opened is no evidence against the worker; a refusal or a timeout is.
+        # A reset right after connecting does not prove that the worker is unreachable, so the connect is
+        # repeated; after a refusal or a timeout it is not.
         for _ in range(MAX_CONNECT_ATTEMPTS):
             if not is_wanted() or not self.descriptors.acquire():
                 break
             try:
                 stream = GuardedStream(open_socket(self.address))
                 connection = PooledConnection(stream, self.buffers, parses_responses=True)
-            except OSError:  # no descriptor or buffer for the moment
+            except OSError:  # the system has no descriptor or buffer left
                 self.descriptors.open_count -= 1
                 break
             try:
@@ -171,7 +171,7 @@
         return None
 
     def release(self, connection: PooledConnection) -> None:
-        """Takes back a connection that is ready for another request."""
+        """Returns a connection that is ready for another request to the pool, and frees its slot."""
         self.connection_slots.release()
         if (
             connection.stream.closed()
@@ -185,14 +185,17 @@
         self.descriptors.idle_connections[connection] = lambda: self._expire(connection)
 
     def record_outcome(self, connection: PooledConnection, was_answered: bool) -> None:
-        """Adapts the idle timeout to the outcome of a request on a connection that had been idle.
+        """Adapts the idle timeout to whether a request on a connection that had been idle was answered.
 
-        Without an answer the timeout falls to half of the idle time (at least MIN_IDLE_TIMEOUT_S); after an
-        answer on a connection idle for more than half of the timeout it grows by half, up to its maximum.
+        Without an answer the timeout falls to half of that idle time, but not below MIN_IDLE_TIMEOUT_S. After
+        an answer on a connection that was idle for more than half of the timeout, it grows by half, up to its
+        maximum.
         """
-        if connection.idle_s and not was_answered:
-            self.idle_timeout_s = max(MIN_IDLE_TIMEOUT_S, min(self.idle_timeout_s, connection.idle_s / 2.0))
-        elif connection.idle_s > self.idle_timeout_s / 2.0:
+        if connection.idle_before_use_s and not was_answered:
+            self.idle_timeout_s = max(
+                MIN_IDLE_TIMEOUT_S, min(self.idle_timeout_s, connection.idle_before_use_s / 2.0)
+            )
+        elif connection.idle_before_use_s > self.idle_timeout_s / 2.0:
             self.idle_timeout_s = min(self.max_idle_timeout_s, self.idle_timeout_s * 1.5)
 
     def discard(self, connection: PooledConnection) -> None:
@@ -210,7 +213,7 @@
         self._close(connection)
 
     def _remove_idle(self, connection: PooledConnection) -> float:
-        """Takes a connection off the idle ones; returns since when it was idle (loop time, s)."""
+        """Removes a connection from the idle ones; returns the loop time since which it was idle."""
         idle_since_s, timer = self.idle_connections.pop(connection)
         del self.descriptors.idle_connections[connection]
         self.loop.remove_timeout(timer)
--- a/spanwing/workers/http_worker.py
+++ b/spanwing/workers/http_worker.py
@@ -1,4 +1,8 @@
-"""The actor for one worker that is reached over HTTP."""
+"""The connection actor for one worker that is reached over HTTP.
+
+A worker answers a job with 202 before it runs it, and reports the result by a callback to the scheduler. It
+may also answer with the result (200), or reject the job (503 or 504 with `X-Rejected: 1`).
+"""
 
 from __future__ import annotations
 
@@ -41,14 +45,15 @@
 
 logger = logging.getLogger("spanwing")
 
-ACCEPT_TIMEOUT_S = 2.5  # wait for a worker's 202, which comes before any work; its pauses are far shorter
-CANCEL_TIMEOUT_S = 1.0  # wait for the response to a DELETE
+ACCEPT_TIMEOUT_S = 2.5  # for a worker's 202, which it sends before any work; its pauses are far shorter
+CANCEL_TIMEOUT_S = 1.0  # for the response to a DELETE
 CANCEL_RETRY_MIN_S, CANCEL_RETRY_MAX_S = 0.1, 2.0  # first and longest backoff before a DELETE is retried
 PROBE_TIMEOUT_S = 0.5
-MAX_SEND_CONNECTIONS = 3  # connections used for one request at most; all but the first are new
-CLOSE_GRACE_S = 0.02  # a close has arrived by then: no other worker may get the request before
-LAST_BYTE_DELAY_S = 0.002  # upper estimate of a round trip
+MAX_SEND_CONNECTIONS = 3  # connections tried for one request; all but the first are new
+CLOSE_GRACE_S = 0.02  # a close reaches the worker within this; until then no other worker may get the request
+LAST_BYTE_DELAY_S = 0.002  # upper estimate of a round trip, after which a reset would have arrived
 
+#: By the final state that a worker reports of a job: the result of the attempt.
 CALLBACK_RESULTS: dict[str, api.Result] = {
     "done": "ok",
     "failed": "error",
@@ -58,7 +63,7 @@
 
 
 class WorkerCallback(NamedTuple):
-    """State that a worker reports of a job it has accepted."""
+    """A worker reports the state of a job that it has accepted."""
 
     request: str
     state: str
@@ -67,23 +72,24 @@
 
 
 class ConfirmationSettings(NamedTuple):
-    """When a worker is asked, before a request goes to it, whether it accepts work.
+    """Whether a worker has to confirm that it accepts work before an attempt is sent to it.
 
-    A draining worker answers GET /alive with 503. So even a list of unknown age sends nothing to it.
+    The worker is asked by GET /alive, which a draining worker answers with 503. So nothing is sent to a
+    draining worker even if the age of the endpoint list is unknown.
     """
 
     is_needed: Callable[[], bool] = lambda: False
-    valid_s: float = 0.0  # a worker that accepted work a moment ago is not asked again
+    valid_s: float = 0.0  # a worker is not asked again for this long after it has confirmed
 
 
 class RetireWorker(NamedTuple):
-    """The worker has left the endpoint list (or is back): close once nothing is in flight."""
+    """The worker has left the endpoint list; the actor closes once no attempt is in flight."""
 
-    is_retired: bool
+    is_retired: bool  # False: the worker is listed again
 
 
-class WithdrawQueued(NamedTuple):
-    """Ends the attempts that have not been sent yet."""
+class WithdrawUnsent(NamedTuple):
+    """End the attempts whose last byte is unsent, as the worker is draining."""
 
 
 @dataclass(slots=True, eq=False)
@@ -92,15 +98,18 @@
 
     delivery: DeliveryAttempt
     listener: AttemptListener
-    expires_s: float = 0.0  # loop time; nobody waits for it longer
-    connection: PooledConnection | None = None  # from the moment its last byte may leave until the 202
+    expires_s: float = 0.0  # loop time of the attempt's timeout
+    connection: PooledConnection | None = None  # set from the write of the last byte until the response
     is_last_byte_written: bool = False  # the last byte is being written or was written
     is_accepted: bool = False  # the 202 has arrived
-    cancel_result: api.Result | None = None
+    cancel_result: api.Result | None = None  # the attempt is cancelled and will end with this result
 
 
 class HttpWorker(WorkerConnectionActor):
-    """Delivers, cancels and probes over HTTP; each delivery ends in exactly one AttemptEnded."""
+    """Delivers and cancels attempts over HTTP, and probes the worker.
+
+    Each delivery ends in exactly one AttemptEnded.
+    """
 
     def __init__(
         self,
@@ -110,19 +119,20 @@
         on_retired: Callable[[HttpWorker], None],
         confirmation: ConfirmationSettings = ConfirmationSettings(),  # noqa: B008 - a tuple
     ) -> None:
+        """on_retired is called when the worker has left the endpoint list and no attempt is in flight."""
         super().__init__()
-        self.confirmation, self.confirmed_until_s = confirmation, 0.0
+        self.confirmation, self.confirmed_until_s = confirmation, 0.0  # confirmed_until_s: loop time
         self.name, self.address = name, str(connection_pool.address)
         self.connection_pool, self.load_reader, self.on_retired = connection_pool, load_reader, on_retired
         self.attempts: dict[str, HttpAttempt] = {}
-        self.is_retiring = False
-        self.is_draining = False  # draining or gone: nothing new may be sent to it
-        self.draining_since_s = 0.0  # loop time of the list that said so
+        self.is_retiring = False  # the worker has left the endpoint list
+        self.is_draining = False  # the worker is draining or has left: nothing new may be sent to it
+        self.draining_since_s = 0.0  # loop time at which the endpoint list reported that
 
     def find_transferable(self, request: str, number: int) -> HttpAttempt | None:
         """Returns the attempt if it may be transferred to another process, else None.
 
-        It may once the worker has accepted it, unless it was cancelled.
+        An attempt may be transferred once the worker has accepted it, unless it was cancelled.
         """
         attempt = self.attempts.get(request)
         is_transferable = (
@@ -139,7 +149,7 @@
         self._close_if_retired()
 
     def resume_attempt(self, delivery: DeliveryAttempt, listener: AttemptListener) -> None:
-        """Takes over an attempt that the worker accepted from another process."""
+        """Takes over an attempt that the worker has accepted from another process."""
         self.attempts[delivery.request.id] = HttpAttempt(
             delivery,
             listener,
@@ -150,22 +160,21 @@
 
     def _handle_deliver(self, message: DeliverAttempt) -> None:
         attempt = HttpAttempt(*message, self.loop.time() + message.delivery.timeout_ms / 1000.0)
-        if (
-            attempt.delivery.request.id in self.attempts
-        ):  # one attempt of a request at a time goes to a worker
+        # A worker has at most one attempt of a request at a time.
+        if attempt.delivery.request.id in self.attempts:
             attempt.listener.post(
                 AttemptEnded(attempt.delivery.request.id, attempt.delivery.number, "moot", is_unsent=True)
             )
             return
         self.attempts[attempt.delivery.request.id] = attempt
-        spawn_task(self._keep_attempt(attempt))
+        spawn_task(self._supervise_attempt(attempt))
 
-    async def _keep_attempt(self, attempt: HttpAttempt) -> None:
-        """Runs the attempt, and ends it after a fault of the program: its request still owes its answer."""
+    async def _supervise_attempt(self, attempt: HttpAttempt) -> None:
+        """Runs an attempt, and ends it if that raises: its request still needs an answer."""
         try:
             await self._run_attempt(attempt)
-        except Exception:  # one attempt's fault must not lose the request
-            logger.exception("fault in an attempt")
+        except Exception:  # a bug in one attempt must not lose the request
+            logger.exception("fault in a delivery attempt; ending the attempt")
             was_sent = attempt.is_last_byte_written
             self._end_attempt(attempt, "reset" if was_sent else "unreachable", is_unsent=not was_sent)
 
@@ -183,22 +192,22 @@
             )
             return
         attempt.listener.post(LastByteSent(request.id, attempt.delivery.number))
-        # A worker that neither accepts nor rejects is not waited for: that would only occupy its slots and
-        # make the client wait until its deadline.
+        # Waiting for a worker that neither accepts nor rejects the job would only occupy its slots, and would
+        # make the client wait until the deadline.
         accept_timer = self.loop.call_later(ACCEPT_TIMEOUT_S, self._abort_unanswered, attempt, "timeout")
         response = await self._receive_response(connection)
         self.loop.remove_timeout(accept_timer)
         attempt.connection = None
-        self._handle_response(attempt, response, connection.is_garbled)
+        self._handle_response(attempt, response, connection.is_response_invalid)
 
     def _encode_attempt(self, attempt: HttpAttempt) -> bytes:
-        """Encodes the request with the time that is left now, after any wait for a connection."""
+        """Encodes the request with the remaining time as its budget, after any wait for a connection."""
         request = attempt.delivery.request
-        left_ms = (attempt.expires_s - self.loop.time()) * 1000.0
+        remaining_ms = (attempt.expires_s - self.loop.time()) * 1000.0
         headers = {
             "Host": str(self.connection_pool.address),
             "X-Call-Id": request.id,
-            "X-Budget-Ms": str(max(1, int(left_ms))),
+            "X-Budget-Ms": str(max(1, int(remaining_ms))),
         }
         if request.effect_key is not None:
             headers["Idempotency-Key"] = request.effect_key
@@ -211,21 +220,22 @@
         is_wanted: Callable[[], bool],
         attempt: HttpAttempt | None = None,
     ) -> PooledConnection | None:
-        """Returns the connection that took the complete request, or None if none took its last byte.
+        """Sends a request; returns its connection, or None if the last byte was not written.
 
-        encode is called once there is a connection; is_wanted is asked after each wait, and each time bytes
-        of an attempt are handed to the kernel.
+        encode is called for each connection that is tried, when it is ready. is_wanted is checked after each
+        wait; for an attempt, the permission to send is also checked at each write to the socket.
 
-        A pooled connection that the worker has dropped silently looks open, and a request written to it may
-        count as run. Requests that must not run twice therefore go on a new connection, and their last byte,
-        without which they cannot run, is held back until a reset would have arrived.
+        A pooled connection that the worker has dropped silently still looks open, and a request written to it
+        may have to count as run. With hold_last_byte, for requests that must not run twice, only new
+        connections are used, and the last byte, without which the request cannot run, is held back until a
+        reset would have arrived.
         """
         for number in range(MAX_SEND_CONNECTIONS):
             connection = await self.connection_pool.acquire(hold_last_byte or number > 0, is_wanted)
             if connection is None:
                 return None
             try:
-                if attempt is not None and not await self._confirm(connection, attempt):
+                if attempt is not None and not await self._confirm_worker(connection, attempt):
                     self.connection_pool.discard(connection)
                     return None
                 data = encode()
@@ -235,7 +245,8 @@
                 if is_wanted() and connection.is_reusable():
                     if attempt is not None:
                         attempt.is_last_byte_written, attempt.connection = True, connection
-                        # Also for bytes buffered in the stream.
+                        # Bytes that stay in the stream's buffer are checked when they are written to the
+                        # socket.
                         connection.stream.permit = lambda: self._may_send(attempt)
                     self._check_send(data, attempt)
                     await connection.write(data[-1:] if hold_last_byte else data)
@@ -246,17 +257,17 @@
             self.connection_pool.discard(connection)
             if attempt is not None:
                 attempt.is_last_byte_written, attempt.connection = False, None
-            if not is_wanted():  # cancelled meanwhile: nothing may be sent any more
+            if not is_wanted():  # cancelled, or no longer permitted
                 return None
         return None
 
-    async def _confirm(self, connection: PooledConnection, attempt: HttpAttempt) -> bool:
-        """Returns whether the worker may get an attempt: asks it on this connection, if that is needed."""
+    async def _confirm_worker(self, connection: PooledConnection, attempt: HttpAttempt) -> bool:
+        """Returns whether the attempt may be sent; if needed, asks the worker first, on this connection."""
         permit = attempt.delivery.may_send
         if not self.confirmation.is_needed():
             return True
         if self.loop.time() >= self.confirmed_until_s:
-            asked_s = self.loop.time()
+            asked_at_s = self.loop.time()
             await connection.write(encode_request("GET", "/alive", {"Host": self.address}))
             response = None
             with suppress(HttpError, WaitOver):
@@ -269,14 +280,15 @@
                 if isinstance(permit, SendPermit):
                     permit.note_unconfirmed()
                 return False
-            self.confirmed_until_s = asked_s + self.confirmation.valid_s
+            self.confirmed_until_s = asked_at_s + self.confirmation.valid_s
         if isinstance(permit, SendPermit):
             permit.is_confirmed = True
         return True
 
     def _check_send(self, data: bytes, attempt: HttpAttempt | None) -> None:
-        """Checks the rules for what is about to be written, and logs what goes to a draining worker: a DELETE
-        is owed to it, a probe was begun before.
+        """Checks the rules for a request about to be written, and logs it if the worker is draining.
+
+        A draining worker may still get a DELETE, and a probe that was begun before.
         """
         permit = None if attempt is None else attempt.delivery.may_send
         if isinstance(permit, SendPermit):
@@ -294,7 +306,7 @@
     async def _receive_response(
         self, connection: PooledConnection, timeout_s: float | None = None
     ) -> HttpMessage | None:
-        """Returns the response, or None; releases or discards the connection."""
+        """Returns the response, or None if there is none; releases or discards the connection."""
         response, timeout = None, None if timeout_s is None else timedelta(seconds=timeout_s)
         try:
             incoming = connection.receive()
@@ -304,50 +316,53 @@
                 else with_timeout(timeout, incoming, quiet_exceptions=(HttpError, StreamClosedError))
             )
         except HttpError:
-            connection.is_garbled = True
+            connection.is_response_invalid = True
         except WaitOver:
-            connection.is_garbled = not connection.parser.is_idle()
+            connection.is_response_invalid = not connection.parser.is_idle()
         except StreamClosedError:
             pass
         self.connection_pool.record_outcome(connection, response is not None)
-        if response is not None and response.keep_alive and not connection.is_shut_down:
+        if response is not None and response.keep_alive and not connection.is_write_shut_down:
             self.connection_pool.release(connection)
         else:
             self.connection_pool.discard(connection)
         return response
 
-    def _handle_response(self, attempt: HttpAttempt, response: HttpMessage | None, is_garbled: bool) -> None:
+    def _handle_response(
+        self, attempt: HttpAttempt, response: HttpMessage | None, is_response_invalid: bool
+    ) -> None:
         if not self._is_current(attempt):
             return
         report = self.load_reader.read_text(response.headers.get("x-load-report", "")) if response else None
-        if response is None and is_garbled:  # the garbled response may have been a 202
+        if response is None and is_response_invalid:  # the invalid response may have been a 202
             attempt.cancel_result = attempt.cancel_result or "reset"
             spawn_task(self._cancel_at_worker(attempt))
         elif response is None and attempt.cancel_result is not None:
             self.loop.call_later(CLOSE_GRACE_S, self._end_attempt, attempt, attempt.cancel_result)
         elif response is None:
             self._end_attempt(attempt, "reset")
-        elif response.status == 202 and attempt.cancel_result is not None:  # the 202 crossed the cancellation
+        elif response.status == 202 and attempt.cancel_result is not None:  # sent before the cancellation
             spawn_task(self._cancel_at_worker(attempt))
         elif response.status == 202:
             attempt.is_accepted = True
             attempt.listener.post(AttemptAccepted(attempt.delivery.request.id, attempt.delivery.number))
-        elif response.status == 200:  # final answer without a callback
+        elif response.status == 200:  # the result, without a callback
             self._end_attempt(attempt, "ok", response.body, report)
         elif response.status in (503, 504) and response.headers.get("x-rejected") == "1":
             self._end_attempt(attempt, "full", report=report)
-        elif 400 <= response.status < 500:  # the client's request is at fault, not this worker
+        elif 400 <= response.status < 500:  # the request is at fault, not this worker
             self._end_attempt(attempt, "rejected", report=report)
         else:
             self._end_attempt(attempt, "error", report=report)
 
     def _is_wanted(self, attempt: HttpAttempt) -> bool:
+        """Returns whether the attempt is in flight, not cancelled, and may be sent."""
         return self._is_current(attempt) and attempt.cancel_result is None and self._may_send(attempt)
 
     def _may_send(self, attempt: HttpAttempt) -> bool:
-        """Checks the permission at the moment of use.
+        """Returns whether the attempt may be sent now.
 
-        Sees a lease that ended while the connection was made, and a worker that has begun to drain.
+        Refuses it if the worker began to drain, or a lease ended, while the connection was opened.
         """
         permit = attempt.delivery.may_send
         if self.is_draining and isinstance(permit, SendPermit):
@@ -355,6 +370,7 @@
         return not self.is_draining and (permit is None or permit())
 
     def _is_current(self, attempt: HttpAttempt) -> bool:
+        """Returns whether the attempt has not ended."""
         return self.attempts.get(attempt.delivery.request.id) is attempt
 
     def _end_attempt(
@@ -365,7 +381,8 @@
         report: tuple[float, ...] | None = None,
         is_unsent: bool = False,
     ) -> None:
-        # A callback may come before the 202, or twice: only the first end of an attempt counts.
+        """Ends the attempt with this result, unless it has ended already."""
+        # A callback may arrive before the 202, or twice: only the first result counts.
         if not self._is_current(attempt):
             return
         del self.attempts[attempt.delivery.request.id]
@@ -377,6 +394,7 @@
         self._close_if_retired()
 
     def _handle_callback(self, callback: WorkerCallback) -> None:
+        """Handles the worker's report on a job; reports on unknown jobs and in unknown states are ignored."""
         attempt = self.attempts.get(callback.request)
         if attempt is None:
             return
@@ -401,10 +419,11 @@
             self._end_attempt(attempt, message.result, is_unsent=True)
 
     def _abort_unanswered(self, attempt: HttpAttempt, result: api.Result) -> None:
-        """Cancels an attempt that was sent and not answered yet.
+        """Cancels an attempt that was sent and is not answered yet.
 
-        Before the 202 the end of the connection cancels the job. A 202 may be on its way, and then the job
-        runs: responses are still read for CLOSE_GRACE_S, until the close has certainly arrived.
+        A worker cancels the job if the connection ends before it sends the 202. If a 202 is already on its
+        way, the job runs. Responses are therefore read for another CLOSE_GRACE_S, until the close has
+        certainly arrived.
         """
         if attempt.connection is not None and attempt.cancel_result is None:
             attempt.cancel_result = result
@@ -418,17 +437,17 @@
         if not attempt.is_last_byte_written:
             attempt.cancel_result = attempt.cancel_result or "moot"
             self._end_attempt(attempt, "moot", is_unsent=True)
-        elif (
-            attempt.connection is not None and attempt.connection.stream.writing()
-        ):  # the last byte has not left the stream's buffer
+        elif attempt.connection is not None and attempt.connection.stream.writing():
+            # The last byte is still in the stream's buffer.
             attempt.cancel_result = attempt.cancel_result or "moot"
             attempt.connection.close()
 
     async def _cancel_at_worker(self, attempt: HttpAttempt) -> None:
-        """Cancels an accepted job; the attempt ends only once the worker was notified.
+        """Cancels a job that the worker has accepted; the attempt ends once the worker was notified.
 
-        A DELETE that was cut off is retried with backoff until the attempt's deadline: forwarded elsewhere
-        meanwhile, the request would be in flight twice.
+        A DELETE that the worker did not read is retried with backoff until the attempt's timeout. If the
+        attempt ended earlier, the request could be forwarded to another worker while the job still runs at
+        this one.
         """
         backoff_s = CANCEL_RETRY_MIN_S
         try:
@@ -444,16 +463,20 @@
             self._end_attempt(attempt, attempt.cancel_result or "cancelled")
 
     async def _delete_job(self, target: str) -> bool:
-        """Returns whether the worker has read the DELETE, whatever its response."""
-        # Owed also to a worker that drains or is gone.
-        connection = await self._send_bodiless("DELETE", target, lambda: True)
+        """Sends a DELETE; returns whether the worker has read it, whatever its response.
+
+        A worker that drains or has left the endpoint list is notified too.
+        """
+        connection = await self._send_without_body("DELETE", target, lambda: True)
         return connection is not None and (
-            await self._receive_response(connection, CANCEL_TIMEOUT_S) is not None or connection.is_garbled
+            await self._receive_response(connection, CANCEL_TIMEOUT_S) is not None
+            or connection.is_response_invalid
         )
 
-    async def _send_bodiless(
+    async def _send_without_body(
         self, method: str, target: str, is_wanted: Callable[[], bool]
     ) -> PooledConnection | None:
+        """Sends a request without a body; returns the connection, or None if it could not be sent."""
         data = encode_request(method, target, {"Host": str(self.connection_pool.address)})
         return await self._send_request(lambda: data, False, is_wanted)
 
@@ -461,9 +484,10 @@
         spawn_task(self._probe_load(probe))
 
     async def _probe_load(self, probe: ProbeRequested) -> None:
+        """Requests the load report and posts ProbeEnded, within PROBE_TIMEOUT_S once the request is sent."""
         loop = IOLoop.current()
         started_s = loop.time()
-        connection = await self._send_bodiless("GET", "/metrics/load", lambda: not self.is_draining)
+        connection = await self._send_without_body("GET", "/metrics/load", lambda: not self.is_draining)
         response = None if connection is None else await self._receive_response(connection, PROBE_TIMEOUT_S)
         report = None
         result: api.Result = (
@@ -476,15 +500,15 @@
         probe.listener.post(ProbeEnded(api.ProbeResult(probe.worker, result, elapsed_ms, report)))
 
     def start_draining(self) -> None:
-        """Marks the worker as draining or gone.
+        """Marks the worker as draining, or as having left the endpoint list.
 
-        Nothing new is sent from now on, and attempts not sent yet end as unsent.
+        Nothing new is sent from now on, and attempts whose last byte is unsent end as unsent.
         """
         if not self.is_draining:
             self.is_draining, self.draining_since_s = True, self.loop.time()
-            self.post(WithdrawQueued())
+            self.post(WithdrawUnsent())
 
-    def _withdraw_queued(self, _: WithdrawQueued) -> None:
+    def _withdraw_unsent(self, _: WithdrawUnsent) -> None:
         for attempt in list(self.attempts.values()):
             if self.is_draining and not attempt.is_last_byte_written:
                 self._end_attempt(attempt, "moot", is_unsent=True)
@@ -494,6 +518,7 @@
         self._close_if_retired()
 
     def _close_if_retired(self) -> None:
+        """Closes the idle connections and calls on_retired, if the worker is retiring and has no attempts."""
         if self.is_retiring and not self.attempts:
             self.connection_pool.close_idle()
             self.on_retired(self)
@@ -506,5 +531,5 @@
     WithdrawAttempt: HttpWorker._handle_withdraw,
     ProbeRequested: HttpWorker._handle_probe,
     RetireWorker: HttpWorker._handle_retire,
-    WithdrawQueued: HttpWorker._withdraw_queued,
+    WithdrawUnsent: HttpWorker._withdraw_unsent,
 }
