--- a/spanwing/workers/faktory_worker.py
+++ b/spanwing/workers/faktory_worker.py
@@ -1,4 +1,8 @@
-"""Actors for Faktory job workers: one for each worker, and one for the directory of them."""
+"""Actors for Faktory workers: a connection actor for each worker, and the directory of all of them.
+
+A Faktory worker fetches its jobs by FETCH, and answers each with ACK or FAIL. Its process, identified by a
+`wid`, may have several connections, and sends BEAT as a heartbeat.
+"""
 
 from __future__ import annotations
 
@@ -33,22 +37,24 @@
 from spanwing.workers.worker_id import worker_id_of
 
 JOB_CONTENT_TYPE = "application/vnd.faktory.job+json"
-MAX_QUEUED_JOBS = 8  # jobs that may wait for a worker's FETCH, as in an HTTP worker's queue
-FETCH_TIMEOUT_S = 2.0  # a FETCH without a job is answered after this
-HEARTBEAT_TIMEOUT_S = 60.0  # a worker without a BEAT for this long is gone
+MAX_QUEUED_JOBS = 8  # jobs queued here for a worker's FETCH, as many as in the queue of an HTTP worker
+FETCH_TIMEOUT_S = 2.0  # a FETCH for which there is no job is answered after this
+HEARTBEAT_TIMEOUT_S = 60.0  # a worker that sends no BEAT for this long is removed
+#: By the state in a BEAT: the worker's state. Other states leave it unchanged.
 WORKER_STATES: dict[str, api.State] = {
     "quiet": "draining",
     "terminate": "draining",
     "terminating": "draining",
 }
 
+#: The text of a job, and the callback that receives whether all of it was written.
 FetchedJob = tuple[bytes, Callable[[bool], None]]
 
 
 class FetchRequested(NamedTuple):
-    """A free slot of the worker asks for a job.
+    """A connection of the worker has sent FETCH for these queues.
 
-    The future resolves to the job's bytes and the callback for "written", or to None.
+    The future resolves to a job, or to None if there is none within FETCH_TIMEOUT_S.
     """
 
     queues: tuple[str, ...]
@@ -56,7 +62,7 @@
 
 
 class JobWritten(NamedTuple):
-    """Reports whether all bytes of a job were written to the worker's connection."""
+    """A job was written to the worker's connection, completely or in part."""
 
     request: str
     number: int
@@ -64,7 +70,7 @@
 
 
 class JobPermitted(NamedTuple):
-    """Reports whether a job whose intent had to be recorded first may be handed out."""
+    """The recorder has answered for the intent of an attempt: the job may be handed out or not."""
 
     request: str
     number: int
@@ -78,8 +84,8 @@
     result: api.Result
 
 
-class WorkerVanished(NamedTuple):
-    """The worker's last connection ended, or its heartbeat timed out."""
+class WorkerLost(NamedTuple):
+    """The worker's last connection has closed, or its heartbeat has timed out."""
 
 
 @dataclass(slots=True, eq=False)
@@ -88,23 +94,23 @@
 
     delivery: DeliveryAttempt
     listener: AttemptListener
-    is_handed_out: bool = False
-    is_permitted: bool = False
-    reserved_fetch: WaitingFetch | None = None  # reserved while the intent is being written to disk
+    is_handed_out: bool = False  # the job was passed to a FETCH
+    is_permitted: bool = False  # the intent is recorded, or the recorder permits to go without
+    reserved_fetch: WaitingFetch | None = None  # reserved while the intent is being recorded
 
 
 @dataclass(slots=True, eq=False)
 class WaitingFetch:
-    """A FETCH that waits for a job."""
+    """A FETCH for which there is no job yet."""
 
     fetch: FetchRequested
-    timer: object
+    timer: object  # answers the FETCH without a job after FETCH_TIMEOUT_S
 
 
 def encode_job(request: JobRequest) -> bytes:
-    """Returns the job as a worker gets it.
+    """Returns the text of a job for the worker.
 
-    A job that came by Faktory keeps its own text; any other is built from the request.
+    A job from a Faktory client is passed on unchanged; for any other request a job is built.
     """
     if request.media == JOB_CONTENT_TYPE:
         return request.body
@@ -120,13 +126,13 @@
 
 
 class FaktoryWorker(WorkerConnectionActor):
-    """Connection to a worker that fetches its jobs.
+    """The connection to one worker, which fetches its jobs.
 
-    Each delivery ends in exactly one AttemptEnded; a late ACK changes nothing. At most MAX_QUEUED_JOBS
-    attempts wait for a FETCH; further ones end as "full".
+    Each delivery ends in exactly one AttemptEnded; a late ACK is ignored. At most MAX_QUEUED_JOBS attempts
+    wait for a FETCH; further ones end as "full".
     """
 
-    records_intent_itself = True  # nothing leaves before a FETCH: the intent is recorded then
+    records_intent_itself = True  # the intent is recorded at the FETCH; nothing is sent before
 
     def __init__(self, name: str, address: str) -> None:
         super().__init__()
@@ -138,14 +144,14 @@
     def _handle_deliver(self, message: DeliverAttempt) -> None:
         attempt = FaktoryAttempt(*message)
         request = attempt.delivery.request
-        if request.id in self.attempts:  # one attempt of a request at a time goes to a worker
+        if request.id in self.attempts:  # a worker has at most one attempt of a request at a time
             attempt.listener.post(AttemptEnded(request.id, attempt.delivery.number, "moot", is_unsent=True))
             return
         self.attempts[request.id] = attempt
         self._assign_fetch(attempt)
 
     def _assign_fetch(self, attempt: FaktoryAttempt) -> None:
-        """Gives the attempt to a waiting FETCH, or queues it."""
+        """Hands the attempt out to a waiting FETCH, or queues it; if the queue is full, ends it as "full"."""
         waiting_fetch = next(
             (
                 each
@@ -165,6 +171,7 @@
             attempt.listener.post(AttemptAccepted(attempt.delivery.request.id, attempt.delivery.number))
 
     def _handle_fetch(self, fetch: FetchRequested) -> None:
+        """Hands out the first queued attempt for the queues of the FETCH, or lets the FETCH wait."""
         if fetch.reply.done():
             return
         waiting_fetch = WaitingFetch(fetch, None)
@@ -184,11 +191,11 @@
         self.waiting_fetches.append(waiting_fetch)
 
     def _hand_out(self, attempt: FaktoryAttempt, waiting_fetch: WaitingFetch) -> None:
+        """Answers the FETCH with the job, once it may be sent and its intent is recorded."""
         if waiting_fetch.timer is not None:
             self.loop.remove_timeout(waiting_fetch.timer)
-        if (
-            attempt.delivery.may_send is not None and not attempt.delivery.may_send()
-        ):  # checked at the moment of use: the attempt may have waited
+        # Checked now, as the attempt may have been queued for long.
+        if attempt.delivery.may_send is not None and not attempt.delivery.may_send():
             attempt.reserved_fetch = waiting_fetch
             self._end_attempt(attempt, "moot")
             return
@@ -197,12 +204,15 @@
                 waiting_fetch,
                 (attempt.delivery.request.id, attempt.delivery.number),
             )
-            attempt.delivery.record_intent(lambda may: self.post(JobPermitted(*key, may)))
+            attempt.delivery.record_intent(lambda may_send: self.post(JobPermitted(*key, may_send)))
             return
         attempt.is_handed_out = True
         key = (attempt.delivery.request.id, attempt.delivery.number)
         waiting_fetch.fetch.reply.set_result(
-            (encode_job(attempt.delivery.request), lambda whole: self.post(JobWritten(*key, whole)))
+            (
+                encode_job(attempt.delivery.request),
+                lambda is_complete: self.post(JobWritten(*key, is_complete)),
+            )
         )
 
     def _handle_permitted(self, permitted: JobPermitted) -> None:
@@ -213,7 +223,7 @@
             self._end_attempt(attempt, "moot")
             return
         attempt.is_permitted, waiting_fetch, attempt.reserved_fetch = True, attempt.reserved_fetch, None
-        if waiting_fetch.fetch.reply.done():  # the fetching connection ended meanwhile
+        if waiting_fetch.fetch.reply.done():  # the connection of the FETCH has closed meanwhile
             self._assign_fetch(attempt)
         else:
             self._hand_out(attempt, waiting_fetch)
@@ -225,7 +235,7 @@
         if written.is_complete:
             attempt.listener.post(LastByteSent(written.request, written.number))
             attempt.listener.post(AttemptProgress(written.request, written.number, True))
-        else:  # the last byte was never written: the job cannot have run
+        else:  # the last byte was not written, so the job cannot have run
             self._end_attempt(attempt, "unreachable", is_unsent=True)
 
     def _handle_finished(self, finished: JobFinished) -> None:
@@ -236,7 +246,7 @@
     def _handle_cancel(self, message: CancelDelivery) -> None:
         attempt = self.attempts.get(message.request)
         if attempt is not None and attempt.delivery.number == message.number:
-            # A job that no FETCH has taken never ran, so an unsafe job may be rejected instead of failed.
+            # A job that was not handed out has not run, so an unsafe one can be rejected instead of failed.
             self._end_attempt(attempt, message.result if attempt.is_handed_out else "full")
 
     def _handle_withdraw(self, message: WithdrawAttempt) -> None:
@@ -244,7 +254,7 @@
         if attempt is not None and attempt.delivery.number == message.number and not attempt.is_handed_out:
             self._end_attempt(attempt, "moot")
 
-    def _handle_vanished(self, _: WorkerVanished) -> None:
+    def _handle_lost(self, _: WorkerLost) -> None:
         for attempt in list(self.attempts.values()):
             self._end_attempt(attempt, "reset" if attempt.is_handed_out else "unreachable")
 
@@ -252,7 +262,7 @@
         del self.attempts[attempt.delivery.request.id]
         if attempt in self.queued_attempts:
             self.queued_attempts.remove(attempt)
-        if attempt.reserved_fetch is not None:  # another attempt may use the reserved FETCH
+        if attempt.reserved_fetch is not None:  # the FETCH becomes available to other attempts
             waiting_fetch, attempt.reserved_fetch = attempt.reserved_fetch, None
             self._handle_fetch(waiting_fetch.fetch)
         attempt.listener.post(
@@ -276,13 +286,13 @@
     JobWritten: FaktoryWorker._handle_written,
     WithdrawAttempt: FaktoryWorker._handle_withdraw,
     JobFinished: FaktoryWorker._handle_finished,
-    WorkerVanished: FaktoryWorker._handle_vanished,
+    WorkerLost: FaktoryWorker._handle_lost,
     ProbeRequested: FaktoryWorker._handle_probe,
 }
 
 
 class WorkerJoined(NamedTuple):
-    """A connection sent HELLO with a wid; the future gets the connection actor of that worker."""
+    """A connection has sent HELLO with a wid; the future resolves to the worker's connection actor."""
 
     wid: str
     labels: dict[str, str]
@@ -291,27 +301,27 @@
 
 
 class HeartbeatReceived(NamedTuple):
-    """A worker has sent BEAT, with its state."""
+    """A worker has sent BEAT with this state."""
 
     wid: str
     state: str
 
 
 class ConnectionClosed(NamedTuple):
-    """A connection of a worker has ended."""
+    """A connection of a worker has closed."""
 
     wid: str
 
 
 class HeartbeatMissed(NamedTuple):
-    """No BEAT came within HEARTBEAT_TIMEOUT_S."""
+    """A worker has sent no BEAT within HEARTBEAT_TIMEOUT_S."""
 
     wid: str
 
 
 @dataclass(slots=True, eq=False)
 class FaktoryMember:
-    """What the directory knows of one worker."""
+    """The directory's entry of one worker."""
 
     endpoint: api.Worker
     worker: FaktoryWorker
@@ -320,9 +330,9 @@
 
 
 class FaktoryWorkerDirectory(Actor):
-    """The directory of Faktory workers; notifies the core of changes.
+    """The directory of Faktory workers; posts EndpointsChanged for each change to its listener.
 
-    A worker is in it from its first HELLO until its last connection ends or its heartbeat times out.
+    A worker is listed from its first HELLO until its last connection closes or its heartbeat times out.
     """
 
     def __init__(self, listener: AttemptListener, default_zone: str) -> None:
@@ -331,7 +341,7 @@
         self.members: dict[str, FaktoryMember] = {}
 
     def handle_message(self, message: Any) -> None:
-        """Runs the handler of the message's type."""
+        """Handles one message by the handler of its type."""
         DIRECTORY_HANDLERS[type(message)](self, message)
 
     def _handle_joined(self, join: WorkerJoined) -> None:
@@ -361,9 +371,8 @@
             return
         self.loop.remove_timeout(member.heartbeat_timer)
         member.heartbeat_timer = self._start_heartbeat_timer(heartbeat.wid)
-        state = WORKER_STATES.get(
-            heartbeat.state, member.endpoint.state
-        )  # "quiet" is permanent, as in Faktory
+        # A worker that was "quiet" once stays draining, as in Faktory.
+        state = WORKER_STATES.get(heartbeat.state, member.endpoint.state)
         if state != member.endpoint.state:
             member.endpoint = member.endpoint._replace(state=state)
             self._publish_change(member.endpoint)
@@ -380,9 +389,10 @@
         if member is not None:
             self.loop.remove_timeout(member.heartbeat_timer)
             self._publish_change(member.endpoint._replace(state="gone"))
-            member.worker.post(WorkerVanished())
+            member.worker.post(WorkerLost())
 
     def _publish_change(self, endpoint: api.Worker) -> None:
+        """Posts the changed entry of one worker, with the connection actors of all listed workers."""
         workers = {each.endpoint.id: each.worker for each in self.members.values()}
         self.listener.post(EndpointsChanged(api.WorkerList("partial", (endpoint,)), workers, "faktory"))
 
@@ -391,5 +401,5 @@
     WorkerJoined: FaktoryWorkerDirectory._handle_joined,
     HeartbeatReceived: FaktoryWorkerDirectory._handle_heartbeat,
     ConnectionClosed: FaktoryWorkerDirectory._handle_connection_closed,
-    HeartbeatMissed: lambda self, silent: self._remove_worker(silent.wid),
+    HeartbeatMissed: lambda self, message: self._remove_worker(message.wid),
 }
