--- a/benchmarks/send_guard_cost.py
+++ b/benchmarks/send_guard_cost.py
@@ -1,4 +1,4 @@
-"""The cost of the send guard: one question of a permit, as each attempt asks some five times.
+"""Measures the cost of one check of a send permit. An attempt checks its permit about five times.
 
 .venv/bin/python -m benchmarks.send_guard_cost
 """
@@ -14,25 +14,25 @@
 from spanwing.core.request_manager import InFlightAttempt, PendingRequest, RequestManager
 from spanwing.discovery.freshness import CallTiming, EndpointFreshness
 
-ROUNDS = 200_000
+CHECK_COUNT = 200_000
 
 
 async def main() -> None:
     settings = api.Settings(classes=(api.ServiceClass("read", aim=300, deadline=5000),))
-    manager = RequestManager(settings, 1, Clock())
+    request_manager = RequestManager(settings, 1, Clock())
     freshness = EndpointFreshness(CallTiming(), time.monotonic())
-    manager.guard.is_list_stale = lambda: freshness.is_stale(time.monotonic())
+    request_manager.guard.is_list_stale = lambda: freshness.is_stale(time.monotonic())
     request = SimpleNamespace(id="job-1", cls="read")
-    now_ms = manager.clock.now_ms()
-    manager.pending_requests["job-1"] = PendingRequest(request, None, now_ms + 1e7, attempt_count=1)
-    manager.in_flight["job-1", 0] = InFlightAttempt(
+    now_ms = request_manager.clock.now_ms()
+    request_manager.pending_requests["job-1"] = PendingRequest(request, None, now_ms + 1e7, attempt_count=1)
+    request_manager.in_flight["job-1", 0] = InFlightAttempt(
         None, 1, now_ms, now_ms + 1e7, None, to_discovered_worker=True
     )
-    permit = manager.guard.permit("job-1", 0, "w1")
-    begun_s = time.perf_counter()
-    for _ in range(ROUNDS):
+    permit = request_manager.guard.permit("job-1", 0, "w1")
+    started_s = time.perf_counter()
+    for _ in range(CHECK_COUNT):
         permit()
-    print(f"one question: {(time.perf_counter() - begun_s) / ROUNDS * 1e6:.2f} us")
+    print(f"one check: {(time.perf_counter() - started_s) / CHECK_COUNT * 1e6:.2f} us")
     assert permit.refusal is None
 
 
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -1,4 +1,9 @@
-"""The management address and its figures: under a crowd, and against what is known."""
+"""The management address under load, the statistics that it reports, and slow start across a hot restart.
+
+Guards against a management address that does not respond while many clients connect or callers stall, against
+statistics in which a request is counted twice or not at all, and against a predecessor and a successor that
+together exceed the budget of a worker that is warming up.
+"""
 
 from __future__ import annotations
 
@@ -23,92 +28,101 @@
     RequestSubmitted,
 )
 from spanwing.core.request_manager import RequestManager
-from spanwing.core.statistics import collect_statistics as figures_of
+from spanwing.core.statistics import collect_statistics
 from spanwing.interface import Outcome, Worker, WorkerList
 
 
-class Crowd(unittest.TestCase):
-    def test_answers_within_a_second_while_clients_crowd_and_callers_stall(self) -> None:
-        """1,000 connections that idle, others that come and go as fast as they can, twenty callers of the
-        address that finish no call."""
+class ManagementTests(unittest.TestCase):
+    def test_responds_within_a_second_while_clients_connect_and_callers_stall(self) -> None:
+        """Measures the response time under load.
+
+        The load is 1,000 idle client connections, clients that connect and disconnect as fast as they can,
+        and 20 callers of the management address that never complete a request.
+        """
         worker = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(worker.close)
-        given = {
+        daemon_config = {
             **config([member("w1", worker.getsockname()[1])]),
             "management": "127.0.0.1:0",
             "limits": {"sockets": 2400, "memory_mb": 400},
         }
-        daemon = Daemon(given, "").ready()
+        daemon = Daemon(daemon_config, "").ready()
         self.addCleanup(daemon.close)
         idle = [daemon.connect("clients") for _ in range(1000)]
         stalled = [daemon.connect("management") for _ in range(20)]
         for number, each in enumerate(stalled):
             each.sendall(b"GET /stats HTTP/1.1\r\n"[:number])
-        over = threading.Event()
+        is_done = threading.Event()
 
-        def busy() -> None:
-            while not over.is_set():
-                with daemon.connect("clients") as one:
-                    one.sendall(
+        def connect_repeatedly() -> None:
+            while not is_done.is_set():
+                with daemon.connect("clients") as connection:
+                    connection.sendall(
                         b"POST /status-read HTTP/1.1\r\nX-Call-Id: x\r\nX-Budget-Ms: 20\r\n"
                         b"Content-Length: 0\r\n\r\n"
                     )
-                    one.recv(1000)
+                    connection.recv(1000)
 
-        crowd = [thread(busy) for _ in range(4)]
-        took = []
+        client_threads = [thread(connect_repeatedly) for _ in range(4)]
+        response_times_s = []
         for number in range(20):
-            at = time.monotonic()
-            with daemon.connect("management") as asked:
-                asked.sendall(b"GET /%s HTTP/1.1\r\n\r\n" % (b"stats" if number % 2 else b"healthcheck"))
-                self.assertIn(b" 200 ", asked.recv(100))
-            took.append(time.monotonic() - at)
+            started_s = time.monotonic()
+            with daemon.connect("management") as caller:
+                caller.sendall(b"GET /%s HTTP/1.1\r\n\r\n" % (b"stats" if number % 2 else b"healthcheck"))
+                self.assertIn(b" 200 ", caller.recv(100))
+            response_times_s.append(time.monotonic() - started_s)
             time.sleep(0.1)
-        over.set()
-        for each in crowd:
+        is_done.set()
+        for each in client_threads:
             each.join(PATIENCE_S)
         for each in idle + stalled:
             each.close()
-        self.assertLess(max(took), 1.0)
+        self.assertLess(max(response_times_s), 1.0)
         self.assertNotIn("Traceback", daemon.said())
 
-    def test_a_caller_among_many_that_have_just_sent_half_a_call(self) -> None:
-        """All come while the loop stands still: what they sent is unread, and none of them may go yet."""
+    def test_responds_to_a_caller_among_many_with_incomplete_requests(self) -> None:
+        """All callers connect while the daemon is stopped by a signal.
+
+        When it continues, their input is unread and none of the connections may be closed for being slow yet.
+        """
         daemon = Daemon({**config(), "management": "127.0.0.1:0"}, "").ready()
         self.addCleanup(daemon.close)
         daemon.process.send_signal(signal.SIGSTOP)
         stalled = [daemon.connect("management") for _ in range(40)]
         for each in stalled:
             each.sendall(b"GET /st")
-        with daemon.connect("management") as asked:
-            asked.sendall(b"GET /healthcheck HTTP/1.1\r\n\r\n")
+        with daemon.connect("management") as caller:
+            caller.sendall(b"GET /healthcheck HTTP/1.1\r\n\r\n")
             daemon.process.send_signal(signal.SIGCONT)
-            self.assertIn(b" 200 ", asked.recv(100))
+            self.assertIn(b" 200 ", caller.recv(100))
         for each in stalled:
             each.close()
 
-    def test_a_slow_request_stays_while_others_come_ask_once_and_idle(self) -> None:
-        """The table is full all the time; the message grows slowly on a connection that was used before."""
+    def test_slow_request_is_kept_while_other_clients_connect_and_idle(self) -> None:
+        """The connection table is full all the time.
+
+        The slow request arrives byte by byte, on a connection that has carried a request before.
+        """
         daemon = Daemon({**config(), "limits": {"sockets": 100}}, "").ready()
         self.addCleanup(daemon.close)
-        ask = b"GET /up HTTP/1.1\r\n\r\n"
+        request = b"GET /up HTTP/1.1\r\n\r\n"
         with daemon.connect("clients") as slow:
-            slow.sendall(ask)
+            slow.sendall(request)
             self.assertIn(b"200 OK", slow.recv(1000))
-            crowd = []
-            time.sleep(0.6)  # longer than a message that does not grow is left alone
-            for number in range(len(ask)):
-                slow.sendall(ask[number : number + 1])
+            others = []
+            time.sleep(0.6)  # longer than a message that does not grow is protected from eviction
+            for number in range(len(request)):
+                slow.sendall(request[number : number + 1])
                 for _ in range(4):
-                    crowd.append(daemon.connect("clients"))
-                    crowd[-1].sendall(ask)
-                    self.assertIn(b"200 OK", crowd[-1].recv(1000))
+                    others.append(daemon.connect("clients"))
+                    others[-1].sendall(request)
+                    self.assertIn(b"200 OK", others[-1].recv(1000))
                 time.sleep(0.06)
             self.assertIn(b"200 OK", slow.recv(1000))
-        for each in crowd:
+        for each in others:
             each.close()
 
-    def test_says_no_while_it_leaves(self) -> None:
+    def test_health_check_fails_during_a_drain(self) -> None:
         worker = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(worker.close)
         daemon = Daemon(
@@ -125,15 +139,17 @@
         daemon.process.terminate()
         status = b"200"
         while status == b"200":
-            with daemon.connect("management") as asked:
-                asked.sendall(b"GET /healthcheck HTTP/1.1\r\n\r\n")
-                status = asked.recv(100).split(b" ")[1]
+            with daemon.connect("management") as caller:
+                caller.sendall(b"GET /healthcheck HTTP/1.1\r\n\r\n")
+                status = caller.recv(100).split(b" ")[1]
         self.assertEqual(status, b"503")
         waiting.close()
         self.assertEqual(daemon.wait()[0], 0)
 
 
-class Sender:
+class ClientStandIn:
+    """A client connection that keeps its answers."""
+
     def __init__(self) -> None:
         self.answers: list[FinalAnswer] = []
 
@@ -141,8 +157,8 @@
         self.answers.append(answer)
 
 
-class Hop:
-    """A next hop that only remembers."""
+class WorkerStandIn:
+    """A worker connection that does nothing."""
 
     name, address, records_intent_itself = "w", "here", False
 
@@ -153,56 +169,61 @@
     def probe(self, worker, listener) -> None: ...
 
 
-class Counted(unittest.TestCase):
-    """At all times a request is in exactly one of active and ended."""
+class StatisticsTests(unittest.TestCase):
+    """Each submitted request is counted exactly once, as active, by its outcome, or as `left`."""
 
     def setUp(self) -> None:
         loop = mock.Mock(time=lambda: 0.0)
         with mock.patch("spanwing.actor.IOLoop.current", return_value=loop):
-            self.core = RequestManager(settings(max_attempts=1, cancel=False), 1, Clock())
-        self.taken = 0
+            self.request_manager = RequestManager(settings(max_attempts=1, cancel=False), 1, Clock())
+        self.submitted_count = 0
 
-    def list(self, *workers: Worker, scope: str = "complete") -> None:
-        self.core.handle_message(
-            EndpointsChanged(WorkerList(scope, workers), {each.id: Hop() for each in workers})
+    def update_workers(self, *workers: Worker, scope: str = "complete") -> None:
+        self.request_manager.handle_message(
+            EndpointsChanged(WorkerList(scope, workers), {each.id: WorkerStandIn() for each in workers})
         )
 
-    def told(self) -> dict[str, int]:
-        told = figures_of(self.core)
-        ended = sum(value for name, value in told.items() if name.split(".")[0] in ("ok", "shed", "errors"))
-        self.assertEqual(ended + told["active"] + self.core.counters["left"], self.taken)
-        return told
+    def check_statistics(self) -> dict[str, int]:
+        """Checks that each submitted request is counted once, and returns the statistics."""
+        statistics = collect_statistics(self.request_manager)
+        ended = sum(
+            value for name, value in statistics.items() if name.split(".")[0] in ("ok", "shed", "errors")
+        )
+        self.assertEqual(
+            ended + statistics["active"] + self.request_manager.counters["left"], self.submitted_count
+        )
+        return statistics
 
-    def ask(self, request: str, cls: str = "look", budget: float = 5000.0) -> Sender:
-        sender = Sender()
-        self.taken += 1
-        self.core.handle_message(RequestSubmitted(JobRequest(request, cls, budget), sender))
-        return sender
+    def submit(self, request: str, cls: str = "look", budget_ms: float = 5000.0) -> ClientStandIn:
+        client = ClientStandIn()
+        self.submitted_count += 1
+        self.request_manager.handle_message(RequestSubmitted(JobRequest(request, cls, budget_ms), client))
+        return client
 
-    def test_every_way_to_end(self) -> None:
+    def test_every_outcome_of_a_request_is_counted(self) -> None:
         from spanwing.core.messages import AttemptEnded, LastByteSent
 
-        self.list(Worker(1), Worker(2))
-        self.ask("served")
-        self.assertEqual(self.told()["active"], 1)
-        self.core.handle_message(LastByteSent("served", 0))
-        self.core.handle_message(AttemptEnded("served", 0, "ok", b"yes"))
-        self.ask("failed", "bill")
-        self.core.handle_message(LastByteSent("failed", 0))
-        self.core.handle_message(AttemptEnded("failed", 0, "reset"))
-        self.ask("refused")
-        self.core.handle_message(AttemptEnded("refused", 0, "full"))
-        gone = self.ask("gone")
-        self.core.handle_message(ClientDisconnected("gone", gone))
-        self.ask("twice")
-        self.ask("twice")
-        self.taken += 1
-        self.core.handle_message(RequestRejected("book"))
-        # An attempt whose last byte comes after it was given up was made all the same.
-        self.core.handle_message(LastByteSent("gone", 0))
-        told = self.told()
+        self.update_workers(Worker(1), Worker(2))
+        self.submit("served")
+        self.assertEqual(self.check_statistics()["active"], 1)
+        self.request_manager.handle_message(LastByteSent("served", 0))
+        self.request_manager.handle_message(AttemptEnded("served", 0, "ok", b"yes"))
+        self.submit("failed", "bill")
+        self.request_manager.handle_message(LastByteSent("failed", 0))
+        self.request_manager.handle_message(AttemptEnded("failed", 0, "reset"))
+        self.submit("refused")
+        self.request_manager.handle_message(AttemptEnded("refused", 0, "full"))
+        disconnected = self.submit("gone")
+        self.request_manager.handle_message(ClientDisconnected("gone", disconnected))
+        self.submit("twice")
+        self.submit("twice")
+        self.submitted_count += 1
+        self.request_manager.handle_message(RequestRejected("book"))
+        # The last byte of a withdrawn attempt still counts as an attempt.
+        self.request_manager.handle_message(LastByteSent("gone", 0))
+        statistics = self.check_statistics()
         self.assertEqual(
-            {name: value for name, value in told.items() if value},
+            {name: value for name, value in statistics.items() if value},
             {
                 "ok.look": 1,
                 "errors.bill": 1,
@@ -212,27 +233,28 @@
                 "tries": 3,
                 "active": 1,
                 "pool_size": 2,
-                "pool_ejected": told["pool_ejected"],
+                "pool_ejected": statistics["pool_ejected"],
             },
         )
 
-    def test_pool_when_the_list_shrinks_and_a_worker_set_aside_leaves_and_comes_back(self) -> None:
-        self.list(Worker(1), Worker(2), Worker(3, "draining"))
-        self.assertEqual(self.core.pool_counts(), (3, 0))
-        view = self.core.scheduler.views[1]
-        self.core.scheduler.now = self.core.clock.now_ms()
-        self.core.scheduler._strike(view, "error")
-        self.assertEqual(self.core.pool_counts(), (3, 1))
-        self.list(Worker(2), Worker(3, "draining"))  # it left while it rested
-        self.assertEqual(self.core.pool_counts(), (2, 0))
-        self.list(Worker(1, "healthy", started=self.core.clock.now_ms()), Worker(2))
-        self.assertEqual(self.core.pool_counts(), (2, 0))
+    def test_pool_statistics_when_an_ejected_worker_leaves_and_returns(self) -> None:
+        self.update_workers(Worker(1), Worker(2), Worker(3, "draining"))
+        self.assertEqual(self.request_manager.pool_counts(), (3, 0))
+        view = self.request_manager.scheduler.views[1]
+        self.request_manager.scheduler.now = self.request_manager.clock.now_ms()
+        self.request_manager.scheduler._strike(view, "error")
+        self.assertEqual(self.request_manager.pool_counts(), (3, 1))
+        self.update_workers(Worker(2), Worker(3, "draining"))  # worker 1 leaves while it is ejected
+        self.assertEqual(self.request_manager.pool_counts(), (2, 0))
+        self.update_workers(Worker(1, "healthy", started=self.request_manager.clock.now_ms()), Worker(2))
+        self.assertEqual(self.request_manager.pool_counts(), (2, 0))
 
 
-class OneFeeder(unittest.TestCase):
-    """Predecessor and successor keep one budget for a cold job worker."""
+class HotRestartTests(unittest.TestCase):
+    """A hot restart transfers requests and worker budgets; the two processes never use them both."""
 
-    def test_what_the_predecessor_sent_counts_and_it_feeds_no_more(self) -> None:
+    def test_predecessor_stops_feeding_and_its_attempts_count_against_the_budget(self) -> None:
+        """Together they send to a worker that is warming up no more than one scheduler would."""
         from spanwing.hot_restart.state_transfer import (
             export_scheduler,
             export_worker,
@@ -242,70 +264,75 @@
         )
         from spanwing.interface import Send
 
-        cold = WorkerList("persisted", (Worker(1, started=1.0),))
-        old, new = Driver(), Driver()
-        old.now = new.now = 100.0
-        sent = []
-        for each in (old, new):
-            each.feed(cold)
+        warming_up = WorkerList("persisted", (Worker(1, started=1.0),))
+        predecessor, successor = Driver(), Driver()
+        predecessor.now = successor.now = 100.0
+        send_counts = []
+        for each in (predecessor, successor):
+            each.feed(warming_up)
         for _ in range(20):
-            sent.append(sum(isinstance(each, Send) for each in old.ask()[1]))
-        first = sum(sent)
-        self.assertGreater(first, 0)
-        stop_feeding(old.node)
-        import_scheduler(new.node, export_scheduler(old.node, 1, "x"), new.now)
-        import_worker(new.node.views[1], export_worker(old.node.views[1]), new.now)
-        new.now = old.now = 600.0
-        # As other jobs end there the slots are free again, but the budget of the window is spent.
-        new.node.views[1].others = 0.0
-        again = sum(isinstance(each, Send) for _ in range(20) for each in new.ask()[1])
-        late = sum(isinstance(each, Send) for _ in range(20) for each in old.ask()[1])
-        alone = Driver()
-        alone.now = 100.0
-        alone.feed(cold)
-        alone_sent = sum(isinstance(each, Send) for _ in range(20) for each in alone.ask()[1])
-        for number in range(alone_sent):
-            alone.end(f"r{number + 1}", 0, 1, "ok")
-        alone.now = 600.0
-        alone_sent += sum(isinstance(each, Send) for _ in range(20) for each in alone.ask()[1])
-        self.assertEqual(late, 0)
-        self.assertLessEqual(first + again, alone_sent)
-
-    def test_a_request_that_goes_over_is_held_once(self) -> None:
+            send_counts.append(sum(isinstance(each, Send) for each in predecessor.ask()[1]))
+        sent_before = sum(send_counts)
+        self.assertGreater(sent_before, 0)
+        stop_feeding(predecessor.node)
+        import_scheduler(successor.node, export_scheduler(predecessor.node, 1, "x"), successor.now)
+        import_worker(successor.node.views[1], export_worker(predecessor.node.views[1]), successor.now)
+        successor.now = predecessor.now = 600.0
+        # The slots are free again, as if other jobs had ended, but the budget of the window is spent.
+        successor.node.views[1].others = 0.0
+        sent_after = sum(isinstance(each, Send) for _ in range(20) for each in successor.ask()[1])
+        sent_late = sum(isinstance(each, Send) for _ in range(20) for each in predecessor.ask()[1])
+        single = Driver()
+        single.now = 100.0
+        single.feed(warming_up)
+        sent_by_single = sum(isinstance(each, Send) for _ in range(20) for each in single.ask()[1])
+        for number in range(sent_by_single):
+            single.end(f"r{number + 1}", 0, 1, "ok")
+        single.now = 600.0
+        sent_by_single += sum(isinstance(each, Send) for _ in range(20) for each in single.ask()[1])
+        self.assertEqual(sent_late, 0)
+        self.assertLessEqual(sent_before + sent_after, sent_by_single)
+
+    def test_transferred_request_in_flight_occupies_its_worker_in_one_process_only(self) -> None:
         from spanwing import interface as api
         from spanwing.hot_restart.state_transfer import RequestResumed, export_attempts, release_request
 
-        old, new = Driver(workers=3), Driver(workers=3)
-        rid, actions = old.ask("bill")
+        predecessor, successor = Driver(workers=3), Driver(workers=3)
+        request_id, actions = predecessor.ask("bill")
         worker = actions[0].worker
-        job = old.node.jobs[rid]
-        told = export_attempts(job)
-        release_request(old.node, rid)
+        job = predecessor.node.jobs[request_id]
+        attempts = export_attempts(job)
+        release_request(predecessor.node, request_id)
         self.assertEqual(
-            (old.node.views[worker].held, old.node.jobs, old.node.open),
+            (predecessor.node.views[worker].held, predecessor.node.jobs, predecessor.node.open),
             (0, {}, {}),
         )
-        actions = new.feed(RequestResumed(api.Request(rid, "bill", 5000.0), job.born, False, False, told))
-        self.assertEqual(actions, [])  # an attempt is out: nothing is sent
-        self.assertEqual(new.node.views[worker].held, 1)
-        # Its end is the old one's no more, and answers at the new one: what must not run twice goes no more.
-        self.assertEqual(old.feed(Outcome(rid, 0, worker, "ok", True, 1.0)), [])
-        self.assertEqual(new.end(rid, 0, worker, "reset")[-1], api.Fail(rid))
-        self.assertNotIn(api.Send, {type(each) for each in new.seen})
-        self.assertEqual(new.node.views[worker].held, 0)
-
-    def test_a_held_request_goes_over_and_is_sent_there(self) -> None:
+        actions = successor.feed(
+            RequestResumed(api.Request(request_id, "bill", 5000.0), job.born, False, False, attempts)
+        )
+        self.assertEqual(actions, [])  # the attempt is in flight, so no other is sent
+        self.assertEqual(successor.node.views[worker].held, 1)
+        # The predecessor ignores the attempt's result. At the successor the request, which must not run
+        # twice, fails without a retry.
+        self.assertEqual(predecessor.feed(Outcome(request_id, 0, worker, "ok", True, 1.0)), [])
+        self.assertEqual(successor.end(request_id, 0, worker, "reset")[-1], api.Fail(request_id))
+        self.assertNotIn(api.Send, {type(each) for each in successor.seen})
+        self.assertEqual(successor.node.views[worker].held, 0)
+
+    def test_transferred_queued_request_is_sent_by_the_successor(self) -> None:
         from spanwing import interface as api
         from spanwing.hot_restart.state_transfer import RequestResumed, export_attempts, release_request
 
-        old, new = Driver(), Driver(workers=1)
-        rid, _ = old.ask()
-        job = old.node.jobs[rid]
-        told = export_attempts(job)
-        release_request(old.node, rid)
-        self.assertEqual(old.node.waiting, 0)
-        actions = new.feed(RequestResumed(api.Request(rid, "look", 5000.0), job.born, False, False, told))
-        self.assertEqual(actions, [api.Send(rid, 1)])
+        predecessor, successor = Driver(), Driver(workers=1)
+        request_id, _ = predecessor.ask()
+        job = predecessor.node.jobs[request_id]
+        attempts = export_attempts(job)
+        release_request(predecessor.node, request_id)
+        self.assertEqual(predecessor.node.waiting, 0)
+        actions = successor.feed(
+            RequestResumed(api.Request(request_id, "look", 5000.0), job.born, False, False, attempts)
+        )
+        self.assertEqual(actions, [api.Send(request_id, 1)])
 
 
 if __name__ == "__main__":
