--- a/spanwing/core/clock.py
+++ b/spanwing/core/clock.py
@@ -1,4 +1,4 @@
-"""The scheduler's clock: Unix time in milliseconds, like the times in the endpoint list, that never steps."""
+"""The scheduler's clock: Unix time in ms, as in the endpoint list, unaffected by steps of the wall clock."""
 
 from __future__ import annotations
 
--- a/spanwing/core/messages.py
+++ b/spanwing/core/messages.py
@@ -68,7 +68,7 @@
     #: Set only for a worker connection that records the intent itself. The connection calls it before the
     #: first byte, with a callback that receives whether the attempt may be sent.
     record_intent: Callable[[Callable[[bool], None]], None] | None = None
-    #: Checked by the worker connection each time bytes are handed on, up to the last one; None: no check.
+    #: Checked by the worker connection before each write, up to that of the last byte; None: no check.
     #: An attempt that may no longer be sent ends as moot.
     may_send: Callable[[], bool] | None = None
 
@@ -95,7 +95,7 @@
         """Cancels an attempt, sent or not; it ends with this result unless it has ended already."""
 
     def withdraw(self, request: str, number: int) -> None:
-        """Withdraws an attempt whose request needs no answer any more.
+        """Withdraws an attempt whose request no longer needs an answer.
 
         The attempt ends as moot if its last byte is unsent, and continues otherwise.
         """
--- a/spanwing/core/request_manager.py
+++ b/spanwing/core/request_manager.py
@@ -70,7 +70,7 @@
 class InFlightAttempt:
     """A delivery attempt that has not ended. Times are those of the scheduler's clock."""
 
-    connection: WorkerConnection | None  # None: the worker is in no directory any more
+    connection: WorkerConnection | None  # None: the worker is no longer in a directory
     worker: int  # scheduler id of the worker
     forwarded_ms: float
     expires_ms: float
@@ -81,7 +81,10 @@
 
 
 class RequestManager(Actor):
-    """Owns the scheduler, the pending requests, the attempts in flight and the counters."""
+    """Owns the scheduler, the pending requests, the attempts in flight and the counters.
+
+    A request is open while it is pending or has an attempt in flight.
+    """
 
     def __init__(self, settings: api.Settings, seed: int, clock: Clock) -> None:
         super().__init__()
@@ -93,7 +96,7 @@
         self.unsafe_classes = {each.name for each in settings.classes if each.effect == "unsafe"}
         self.recorder: AttemptRecorder | None = None  # the journal; None: nothing is recorded
         self.journal_retry_after_ms = min(JOURNAL_RETRY_AFTER_MS, settings.max_retry_after)
-        self.directory: EndpointDirectory | None = None
+        self.directory: EndpointDirectory | None = None  # discovery
         self.zone_routing: ZoneRouting | None = None
         self.policy_admission: PolicyAdmission | None = None
         # Schedulers of earlier policies continue to decide about the requests that they accepted.
@@ -120,8 +123,8 @@
         """Handles one message, then resolves the futures of wait_until_idle() if nothing is open."""
         MESSAGE_HANDLERS[type(message)](self, message)
         if self.idle_waiters and self.is_idle():
-            for waiting in self.idle_waiters:
-                waiting.set_result(None)
+            for waiter in self.idle_waiters:
+                waiter.set_result(None)
             self.idle_waiters = []
 
     def worker_counts(self) -> dict[tuple[str, str], tuple[int, int]]:
@@ -177,7 +180,7 @@
         return not self.pending_requests and not self.in_flight and not self.mailbox
 
     def wait_until_idle(self) -> Future[None]:
-        """Returns a future that is done once the request manager is idle."""
+        """Returns a future that is done once is_idle() holds."""
         waiter: Future[None] = Future()
         if self.is_idle():
             waiter.set_result(None)
@@ -305,14 +308,14 @@
         )
 
     def _is_open(self, request: str) -> bool:
-        """Returns whether the request is pending or has an attempt in flight."""
+        """Returns whether the request is open."""
         return request in self.pending_requests or any(
             (request, number) in self.in_flight
             for number in range(self._scheduler_of(request).set.max_attempts)
         )
 
     def open_ids(self) -> set[str]:
-        """Returns the ids of the requests that are pending or have an attempt in flight."""
+        """Returns the ids of the open requests."""
         return {*self.pending_requests, *(request for request, _ in self.in_flight)}
 
     def in_flight_attempts(self, request: str) -> list[tuple[int, InFlightAttempt]]:
@@ -353,7 +356,7 @@
         self._dispatch_event(event)
 
     def _notify_ended(self, request: str) -> None:
-        """Calls on_open_change if the request is not open any more."""
+        """Calls on_open_change if the request is no longer open."""
         if self.on_open_change is not None and not self._is_open(request):
             self.on_open_change(request, False)
 
@@ -385,7 +388,7 @@
             self._notify_ended(message.request)
 
     def _withdraw_attempts(self, request: str) -> None:
-        """Withdraws the attempts of a request that needs no answer any more.
+        """Withdraws the attempts of a request that no longer needs an answer.
 
         An attempt that is not sent yet is never sent, even where the settings allow no cancellation. An
         attempt that was sent follows the rules of its class.
--- a/spanwing/core/send_guard.py
+++ b/spanwing/core/send_guard.py
@@ -69,9 +69,9 @@
     def __init__(
         self, state: SendState, counters: Counter[str], is_list_stale: Callable[[], bool] = lambda: False
     ) -> None:
-        #: is_list_stale returns whether the endpoint list is past its deadline.
+        """is_list_stale: returns whether the endpoint list is past its deadline."""
         self.state, self.counters, self.is_list_stale = state, counters, is_list_stale
-        #: Returns whether the endpoint list's age alone, whatever its deadline, forbids a send.
+        #: Returns whether the age of the endpoint list forbids a send, computed apart from its deadline.
         self.is_list_too_old: Callable[[], bool] = lambda: False
 
     def permit(self, request: str, number: int, worker: str) -> SendPermit:
--- a/spanwing/workers/http_worker.py
+++ b/spanwing/workers/http_worker.py
@@ -50,7 +50,7 @@
 CANCEL_RETRY_MIN_S, CANCEL_RETRY_MAX_S = 0.1, 2.0  # first and longest backoff before a DELETE is retried
 PROBE_TIMEOUT_S = 0.5
 MAX_SEND_CONNECTIONS = 3  # connections tried for one request; all but the first are new
-CLOSE_GRACE_S = 0.02  # a close reaches the worker within this; until then no other worker may get the request
+CLOSE_GRACE_S = 0.02  # a close reaches the worker within this; the request goes to no other worker before
 LAST_BYTE_DELAY_S = 0.002  # upper estimate of a round trip, after which a reset would have arrived
 
 #: By the final state that a worker reports of a job: the result of the attempt.
@@ -245,8 +245,7 @@
                 if is_wanted() and connection.is_reusable():
                     if attempt is not None:
                         attempt.is_last_byte_written, attempt.connection = True, connection
-                        # Bytes that stay in the stream's buffer are checked when they are written to the
-                        # socket.
+                        # Bytes that stay in the stream's buffer are checked again at the socket.
                         connection.stream.permit = lambda: self._may_send(attempt)
                     self._check_send(data, attempt)
                     await connection.write(data[-1:] if hold_last_byte else data)
@@ -306,7 +305,10 @@
     async def _receive_response(
         self, connection: PooledConnection, timeout_s: float | None = None
     ) -> HttpMessage | None:
-        """Returns the response, or None if there is none; releases or discards the connection."""
+        """Returns the response, or None if it is invalid or does not arrive within timeout_s.
+
+        Releases or discards the connection. Without timeout_s, waits until the connection closes.
+        """
         response, timeout = None, None if timeout_s is None else timedelta(seconds=timeout_s)
         try:
             incoming = connection.receive()
--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -1,4 +1,4 @@
-"""Confirmation: a worker from an endpoint list of unknown age is asked whether it accepts work.
+"""Confirmation: a worker from an endpoint list of unknown age must confirm that it accepts work.
 
 The worker is asked before an attempt is sent to it. Guards against work for a worker that drains, or does not
 respond, while the list still names it as active.
--- a/tests/test_termination_races.py
+++ b/tests/test_termination_races.py
@@ -155,7 +155,7 @@
 
 
 class DiscoveryStandIn(ListenerStandIn):
-    """A discovery service that answers a watch when the test says so."""
+    """A discovery service that answers a watch when the test calls publish()."""
 
     def __init__(self, case: unittest.TestCase) -> None:
         super().__init__(case)
@@ -666,7 +666,7 @@
         return connection
 
     async def test_bytes_that_may_no_longer_be_sent_when_there_is_room_are_not_sent(self) -> None:
-        """Examples: a deduplication window or a lease has ended meanwhile."""
+        """For example after the end of a deduplication window or a lease."""
         for is_idempotent in (True, False):
             with self.subTest(is_idempotent=is_idempotent):
                 self.may_send = True
