--- a/spanwing/workers/connection_pool.py
+++ b/spanwing/workers/connection_pool.py
@@ -116,8 +116,7 @@
         self.idle_connections: dict[PooledConnection, tuple[float, object]] = {}
         self.connection_slots = Semaphore(MAX_CONNECTIONS)
         #: The worker has sent unsolicited data, such as a second response to one request. More of it could be
-        #: taken for the response to another request, so from then on each connection carries one request
-        #: only.
+        #: taken for the response to another request, so each connection then carries only one request.
         self.had_unsolicited_data = False
 
     async def acquire(
