--- a/spanwing/daemon.py
+++ b/spanwing/daemon.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 import msgspec
-from tornado.gen import TimeoutError as WaitOver
+from tornado.gen import TimeoutError as TornadoTimeoutError
 from tornado.gen import sleep
 from tornado.ioloop import IOLoop
 from tornado.locks import Event
@@ -176,7 +176,7 @@
         )
         if hot_restart is not None:
             await hot_restart.take_over(HotRestartContext(self.request_manager, discovery, self.descriptors))
-        with suppress(WaitOver):
+        with suppress(TornadoTimeoutError):
             await discovery.announced.wait(timedelta(seconds=spread_s + FIRST_LIST_WAIT_S))
         self.http_server = _open_listener(
             "ROUTER_LISTEN",
--- a/spanwing/discovery/call.py
+++ b/spanwing/discovery/call.py
@@ -8,7 +8,7 @@
 
 import msgspec
 from tornado.concurrent import Future
-from tornado.gen import TimeoutError as WaitOver
+from tornado.gen import TimeoutError as TornadoTimeoutError
 from tornado.gen import sleep, with_timeout
 from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream, StreamClosedError
@@ -117,7 +117,7 @@
             await with_timeout(
                 timedelta(seconds=max(0.0, wait_s)), reading, quiet_exceptions=StreamClosedError
             )
-        except WaitOver:
+        except TornadoTimeoutError:
             if self.has_no_pending_input():
                 raise AnswerOverdueError from None
             await sleep(0)  # the loop reads it in its next turn
@@ -197,7 +197,7 @@
                 stream.connect(self.address.socket_address),
                 quiet_exceptions=StreamClosedError,
             )
-        except WaitOver:
+        except TornadoTimeoutError:
             return CallFailure.CONNECT_TIMEOUT
         except StreamClosedError:
             return CallFailure.CONNECT_FAILED
--- a/spanwing/frontends/admin.py
+++ b/spanwing/frontends/admin.py
@@ -14,7 +14,7 @@
 from typing import Any, Protocol
 
 import msgspec
-from tornado.gen import TimeoutError as WaitOver
+from tornado.gen import TimeoutError as TornadoTimeoutError
 from tornado.gen import sleep, with_timeout
 from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream, StreamBufferFullError, StreamClosedError
@@ -128,7 +128,7 @@
                 except (ValueError, AdminError) as fault:
                     await self._write_reply({"ok": False, "error": str(fault)})
                 self.is_busy, self.last_activity_s = False, IOLoop.current().time()
-        except (StreamClosedError, StreamBufferFullError, LineTooLongError, WaitOver):
+        except (StreamClosedError, StreamBufferFullError, LineTooLongError, TornadoTimeoutError):
             pass
         finally:
             self.is_finished = True
--- a/spanwing/frontends/journal_endpoint.py
+++ b/spanwing/frontends/journal_endpoint.py
@@ -19,7 +19,7 @@
 from datetime import timedelta
 from urllib.parse import parse_qs, unquote, urlsplit
 
-from tornado.gen import TimeoutError as WaitOver
+from tornado.gen import TimeoutError as TornadoTimeoutError
 from tornado.gen import with_timeout
 from tornado.ioloop import IOLoop
 from tornado.iostream import StreamClosedError
@@ -163,7 +163,7 @@
     @staticmethod
     async def _wait_for_exit(reader: Subprocess) -> int:
         """Returns the exit status of a reader that has closed its output or was killed; -1 after 5 s."""
-        with suppress(WaitOver):
+        with suppress(TornadoTimeoutError):
             return await with_timeout(
                 timedelta(seconds=5), IOLoop.current().run_in_executor(None, reader.proc.wait)
             )
--- a/spanwing/net/stream.py
+++ b/spanwing/net/stream.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 
 from tornado.concurrent import Future
-from tornado.gen import TimeoutError as WaitOver
+from tornado.gen import TimeoutError as TornadoTimeoutError
 from tornado.gen import sleep, with_timeout
 from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream, StreamClosedError
@@ -143,7 +143,7 @@
                     await with_timeout(
                         timedelta(seconds=stall_timeout_s), written, quiet_exceptions=StreamClosedError
                     )
-            except WaitOver:
+            except TornadoTimeoutError:
                 self.close()
                 raise StreamClosedError from None
             written.result()
--- a/spanwing/store/document_service.py
+++ b/spanwing/store/document_service.py
@@ -15,7 +15,7 @@
 
 import msgspec
 from tornado.concurrent import Future
-from tornado.gen import TimeoutError as WaitOver
+from tornado.gen import TimeoutError as TornadoTimeoutError
 from tornado.gen import sleep, with_timeout
 
 from spanwing.actor import spawn_task
@@ -153,7 +153,7 @@
             return OrderResult(message.n, False, f"{MAX_PENDING_ORDERS} orders wait already")
         try:
             return await with_timeout(timedelta(seconds=ANSWER_TIMEOUT_S), answer_future)
-        except WaitOver:
+        except TornadoTimeoutError:
             return _rejection(message, "no majority of the store's members answers")
 
     async def _learn_leader(self) -> None:
@@ -168,7 +168,7 @@
         pending_reply = leader_peer.send_request(msgspec.structs.replace(message, n=message_id, passed=True))
         try:
             reply = await with_timeout(timedelta(seconds=ANSWER_TIMEOUT_S), pending_reply)
-        except WaitOver:
+        except TornadoTimeoutError:
             pending_reply.cancel()
             reply = None
         if not isinstance(reply, RenewalGranted | OrderResult):
--- a/spanwing/store/follower.py
+++ b/spanwing/store/follower.py
@@ -16,7 +16,7 @@
 
 import msgspec
 from tornado.concurrent import Future
-from tornado.gen import TimeoutError as WaitOver
+from tornado.gen import TimeoutError as TornadoTimeoutError
 from tornado.gen import sleep, with_timeout
 from tornado.iostream import StreamBufferFullError, StreamClosedError
 
@@ -103,7 +103,7 @@
         )
         try:
             return await with_timeout(timedelta(seconds=ORDER_TIMEOUT_S), result_future)
-        except WaitOver:
+        except TornadoTimeoutError:
             return OrderResult(
                 message_id, False, "no answer: it may still take hold, so look before you order again"
             )
@@ -134,7 +134,7 @@
                 stream.connect(address.socket_address),
                 quiet_exceptions=StreamClosedError,
             )
-        except (WaitOver, StreamClosedError):
+        except (TornadoTimeoutError, StreamClosedError):
             stream.close()
             self.last_failure = f"{name} cannot be connected to"
             return False
@@ -181,7 +181,7 @@
                 return False
             try:
                 reply = await with_timeout(timedelta(seconds=ANSWER_TIMEOUT_S), grant_future)
-            except WaitOver:
+            except TornadoTimeoutError:
                 self.last_failure = f"{member} does not answer"
                 return False
             if reply is None:  # renew_now(): another renewal, upon which the leader answers this one
--- a/spanwing/store/peer.py
+++ b/spanwing/store/peer.py
@@ -12,7 +12,7 @@
 
 import msgspec
 from tornado.concurrent import Future, future_set_result_unless_cancelled
-from tornado.gen import TimeoutError as WaitOver
+from tornado.gen import TimeoutError as TornadoTimeoutError
 from tornado.gen import with_timeout
 from tornado.iostream import StreamBufferFullError, StreamClosedError
 
@@ -90,7 +90,7 @@
                 stream.connect(self.address.socket_address),
                 quiet_exceptions=StreamClosedError,
             )
-        except (WaitOver, StreamClosedError):
+        except (TornadoTimeoutError, StreamClosedError):
             stream.close()
             self.queued_until_open = None
             self._fail_pending_replies()
--- a/spanwing/store/store.py
+++ b/spanwing/store/store.py
@@ -9,7 +9,7 @@
 from datetime import timedelta
 
 from tornado.concurrent import Future
-from tornado.gen import TimeoutError as WaitOver
+from tornado.gen import TimeoutError as TornadoTimeoutError
 from tornado.gen import sleep, with_timeout
 
 from spanwing.store.acceptor import Acceptor
@@ -132,7 +132,7 @@
         if len(replies) < self.majority:
             for each in pending_replies:
                 each.add_done_callback(count_reply)
-            with suppress(WaitOver):
+            with suppress(TornadoTimeoutError):
                 await with_timeout(self.round_timeout, majority_reached)
         for each in pending_replies:
             each.cancel()
--- a/spanwing/workers/connection_pool.py
+++ b/spanwing/workers/connection_pool.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 from datetime import timedelta
 
-from tornado.gen import TimeoutError as WaitOver
+from tornado.gen import TimeoutError as TornadoTimeoutError
 from tornado.gen import with_timeout
 from tornado.ioloop import IOLoop
 from tornado.iostream import StreamClosedError
@@ -132,7 +132,7 @@
         """
         try:
             await self.connection_slots.acquire(timedelta(seconds=self.connect_timeout_s))
-        except WaitOver:
+        except TornadoTimeoutError:
             return None
         while self.idle_connections and not new_only:
             connection = next(reversed(self.idle_connections))
@@ -163,7 +163,7 @@
                     quiet_exceptions=StreamClosedError,
                 )
                 return connection
-            except (WaitOver, StreamClosedError):
+            except (TornadoTimeoutError, StreamClosedError):
                 self._close(connection)
             if not isinstance(stream.error, ConnectionResetError):
                 break
--- a/spanwing/workers/http_worker.py
+++ b/spanwing/workers/http_worker.py
@@ -10,7 +10,7 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from tornado.gen import TimeoutError as WaitOver
+from tornado.gen import TimeoutError as TornadoTimeoutError
 from tornado.gen import sleep, with_timeout
 from tornado.ioloop import IOLoop
 from tornado.iostream import StreamClosedError
@@ -259,7 +259,7 @@
             asked_s = self.loop.time()
             await connection.write(encode_request("GET", "/alive", {"Host": self.address}))
             response = None
-            with suppress(HttpError, WaitOver):
+            with suppress(HttpError, TornadoTimeoutError):
                 response = await with_timeout(
                     timedelta(seconds=PROBE_TIMEOUT_S),
                     connection.receive(),
@@ -305,7 +305,7 @@
             )
         except HttpError:
             connection.is_garbled = True
-        except WaitOver:
+        except TornadoTimeoutError:
             connection.is_garbled = not connection.parser.is_idle()
         except StreamClosedError:
             pass
