--- a/spanwing/daemon.py
+++ b/spanwing/daemon.py
@@ -162,7 +162,7 @@
         )
         self.request_manager.directory = discovery
         self.request_manager.guard.is_list_stale = discovery.is_stale
-        self.request_manager.guard.list_breaks_rule = discovery.breaks_rule
+        self.request_manager.guard.list_breaks_rule = discovery.violates_drain_rule
         # Whatever the scheduler asks for: until the first answer nothing is sent by the persisted list.
         spread_s = start_spread_s(settings.nodes) if settings.subscribe else 0.0
         discovery.watch(spread_s)
--- a/spanwing/discovery/client.py
+++ b/spanwing/discovery/client.py
@@ -183,9 +183,9 @@
         """
         return self.freshness.is_stale(self.loop.time())
 
-    def breaks_rule(self) -> bool:
+    def violates_drain_rule(self) -> bool:
         """Returns whether a send by the list would break the rule on drains, by its age alone."""
-        return self.freshness.breaks_rule(self.loop.time())
+        return self.freshness.violates_drain_rule(self.loop.time())
 
     def is_unconfirmed(self) -> bool:
         """Returns whether the list is still the one that the process was started with, of unknown age."""
--- a/spanwing/discovery/freshness.py
+++ b/spanwing/discovery/freshness.py
@@ -147,7 +147,7 @@
         if self.confirmed_s is not None:
             self.confirmed_s = min(self.confirmed_s, now_s + DISCOVERY_MOVE_NOTIFIED_S - NOTIFIED_S)
 
-    def breaks_rule(self, now_s: float) -> bool:
+    def violates_drain_rule(self, now_s: float) -> bool:
         """Returns whether a send by the list would break the rule on drains, by its age alone.
 
         Computed apart from the deadline, to check it: the deadline ends HELD_UP_S earlier.
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -104,17 +104,17 @@
 
     def test_a_list_that_this_process_never_confirmed_breaks_the_rule(self) -> None:
         freshness = EndpointFreshness(CallTiming.from_settings(2000.0, False), 100.0)
-        self.assertTrue(freshness.breaks_rule(100.1))
+        self.assertTrue(freshness.violates_drain_rule(100.1))
         freshness.note_moved(100.2)
-        self.assertTrue(freshness.breaks_rule(100.3))
+        self.assertTrue(freshness.violates_drain_rule(100.3))
         freshness.note_unreachable(100.4)
-        self.assertFalse(freshness.breaks_rule(100.5))
+        self.assertFalse(freshness.violates_drain_rule(100.5))
 
     def test_a_call_that_a_refusal_follows_does_not_confirm_a_list_that_missed_its_answer(self) -> None:
         freshness = EndpointFreshness(CallTiming.from_settings(2000.0, False), 100.0)
         freshness.note_unanswered()
         freshness.note_unreachable(100.4)
-        self.assertTrue(freshness.breaks_rule(100.5))
+        self.assertTrue(freshness.violates_drain_rule(100.5))
 
     def test_an_answer_that_was_not_taken_counts_as_notified_from_its_first_byte(self) -> None:
         self.freshness.note_answer_begun(103.0)
@@ -173,7 +173,7 @@
             note(*([] if event == "note_unanswered" else [now_s]))
             for later_s in (0.0, 0.1, 1.0, 4.0, 6.0, 8.0, 20.0):
                 if not freshness.is_stale(now_s + later_s):
-                    self.assertFalse(freshness.breaks_rule(now_s + later_s))
+                    self.assertFalse(freshness.violates_drain_rule(now_s + later_s))
 
     def test_patience_is_a_share_of_the_time_that_is_left_and_has_bounds(self) -> None:
         self.assertEqual(self.freshness.patience_s(100.0), 3.3)
