--- a/measure/soak/planted.py
+++ b/measure/soak/planted.py
@@ -18,7 +18,7 @@
 
     freshness.EndpointFreshness.is_stale = lambda self, now_s: False
     call.AnswerStream._due_s = lambda self: self.began_s + PATIENT_S
-    client.AT_ONCE_HOLD_S = 10.0
+    client.IMMEDIATE_POLL_HOLD_S = 10.0
 
 
 def persisted_at_once() -> None:
--- a/spanwing/discovery/client.py
+++ b/spanwing/discovery/client.py
@@ -33,7 +33,7 @@
 from spanwing.workers.http_worker import HttpWorker, WorkerCallback
 from spanwing.workers.worker_id import worker_id_of
 
-AT_ONCE_HOLD_S = 0.001  # after a failure, or at the start, a call is answered at once, changes or not
+IMMEDIATE_POLL_HOLD_S = 0.001  # after a failure, or at the start, a call is answered at once, changes or not
 CALLS_UNTIL_UNREACHABLE = 8  # failed in a row, before the state is logged: restarts and moves are ordinary
 WATCH_RESTART_S = 0.1
 STATE_OF_PHASE: dict[str, api.State] = {"active": "healthy", "leaving": "draining", "left": "gone"}
@@ -214,7 +214,7 @@
         """
         may_poll = False
         while self.current_watch is watch:
-            since, hold_s = watch.revision, self.timing.poll_hold_s if may_poll else AT_ONCE_HOLD_S
+            since, hold_s = watch.revision, self.timing.poll_hold_s if may_poll else IMMEDIATE_POLL_HOLD_S
             result = await watch.connection.fetch(since, hold_s, self._call_limits(may_poll))
             if self.current_watch is not watch:
                 return
