--- a/measure/soak/planted.py
+++ b/measure/soak/planted.py
@@ -17,7 +17,7 @@
     from spanwing.discovery import call, client, freshness
 
     freshness.EndpointFreshness.is_stale = lambda self, now_s: False
-    call.AnswerStream._due_s = lambda self: self.began_s + PATIENT_S
+    call.AnswerStream._next_byte_deadline_s = lambda self: self.began_s + PATIENT_S
     client.IMMEDIATE_POLL_HOLD_S = 10.0
 
 
--- a/spanwing/discovery/call.py
+++ b/spanwing/discovery/call.py
@@ -112,7 +112,7 @@
         return has_data
 
     async def _wait_for_input(self, reading: Future[int]) -> None:
-        wait_s = self._due_s() - self.loop.time()
+        wait_s = self._next_byte_deadline_s() - self.loop.time()
         try:
             await with_timeout(
                 timedelta(seconds=max(0.0, wait_s)), reading, quiet_exceptions=StreamClosedError
@@ -122,7 +122,7 @@
                 raise AnswerOverdueError from None
             await sleep(0)  # the loop reads it in its next turn
 
-    def _due_s(self) -> float:
+    def _next_byte_deadline_s(self) -> float:
         if self.first_byte_s is None:
             return self.began_s + self.limits.begin_s
         answer_s = self.limits.answer_s + self.received_bytes / MIN_ANSWER_BYTES_PER_S
