--- a/spanwing/discovery/client.py
+++ b/spanwing/discovery/client.py
@@ -136,9 +136,9 @@
             self.has_answer = True
             self.freshness.note_adopted(self.loop.time())
 
-    def worker_at(self, name: str, address: str) -> HttpWorker:
+    def get_or_create_worker(self, name: str, address: str) -> HttpWorker:
         """Returns the worker of this name and address, listed or not."""
-        return self.table.worker_at(name, address)
+        return self.table.get_or_create_worker(name, address)
 
     def watch(self, within_s: float = 0.0) -> None:
         """Starts the watch, unless one is running, at a random moment within this time."""
--- a/spanwing/discovery/worker_table.py
+++ b/spanwing/discovery/worker_table.py
@@ -45,7 +45,7 @@
     def __len__(self) -> int:
         return len(self.names)
 
-    def worker_at(self, name: str, address: str) -> HttpWorker:
+    def get_or_create_worker(self, name: str, address: str) -> HttpWorker:
         """Returns the worker of this name and address.
 
         For one that is not listed (any more) a new one is made, which closes once nothing is in flight there.
--- a/spanwing/hot_restart/hot_restart.py
+++ b/spanwing/hot_restart/hot_restart.py
@@ -221,7 +221,7 @@
             if not each.is_open and not each.never_ran:
                 core.attempt_may_have_run(call, each.forwarded_ms)
             if each.is_open:
-                worker_connection = self.context.discovery_client.worker_at(
+                worker_connection = self.context.discovery_client.get_or_create_worker(
                     transferred.worker_name, transferred.worker_address
                 )
                 budget = max(0.0, transferred.expires_ms - core.clock.now_ms())
