--- a/spanwing/daemon.py
+++ b/spanwing/daemon.py
@@ -150,7 +150,7 @@
 
         timing = CallTiming.from_settings(settings.drain_grace, not settings.subscribe)
         confirmation = Confirmation(
-            lambda: permissions.probes and discovery.is_unconfirmed(), timing.unread_after_s
+            lambda: permissions.probes and discovery.is_unconfirmed(), timing.stale_after_unapplied_s
         )
         discovery = self.discovery = DiscoveryClient(
             config.known_endpoints,
--- a/spanwing/discovery/freshness.py
+++ b/spanwing/discovery/freshness.py
@@ -43,7 +43,7 @@
     moved_within_s: float = DISCOVERY_MOVE_NOTIFIED_S + 2.0 - HELD_UP_S
     max_patience_s: float = MAX_PATIENCE_S
     drain_grace_s: float = 2.0  # as the settings have it
-    unread_after_s: float = 2.0 - HELD_UP_S  # after an answer began that was not applied
+    stale_after_unapplied_s: float = 2.0 - HELD_UP_S  # after an answer began that was not applied
 
     @classmethod
     def from_settings(cls, drain_grace_ms: float, is_pushed: bool) -> CallTiming:
@@ -64,7 +64,7 @@
             else min(MAX_SPREAD_S, 0.4 * stale_after_s),
             moved_within_s=DISCOVERY_MOVE_NOTIFIED_S + grace_s,
             drain_grace_s=drain_grace_ms / 1000.0,
-            unread_after_s=grace_s,
+            stale_after_unapplied_s=grace_s,
             max_patience_s=max(MIN_PATIENCE_S, grace_s / 2.0) if is_pushed else MAX_PATIENCE_S,
         )
 
@@ -100,7 +100,7 @@
         """By when a whole answer must have been applied."""
         if self.unread_since_s is None:
             return self.current_until_s
-        return min(self.current_until_s, self.unread_since_s + self.timing.unread_after_s)
+        return min(self.current_until_s, self.unread_since_s + self.timing.stale_after_unapplied_s)
 
     def note_answer_begun(self, first_byte_s: float) -> None:
         """Notes the first byte of an answer: what it says counts as notified from now on."""
