--- a/spanwing/daemon.py
+++ b/spanwing/daemon.py
@@ -499,7 +499,7 @@
 
     async def wait_until_settled(self) -> None:
         """Waits until no client is owed an answer, including requests that have not been read yet."""
-        while self.http_server.owes_answers() or not self.request_manager.is_idle():
+        while self.http_server.has_unanswered_requests() or not self.request_manager.is_idle():
             await self.request_manager.wait_until_idle()
             await sleep(0.01)
 
--- a/spanwing/frontends/http_server.py
+++ b/spanwing/frontends/http_server.py
@@ -378,7 +378,7 @@
         ):  # else its input is read and answered
             connection.http.close()
 
-    def owes_answers(self) -> bool:
+    def has_unanswered_requests(self) -> bool:
         """Returns whether a client's request is being read or answered, is unread or may be under way.
 
         It may be under way on a connection opened less than FRESH_CONNECTION_S ago, once no other can come.
