--- a/spanwing/frontends/admin.py
+++ b/spanwing/frontends/admin.py
@@ -149,7 +149,7 @@
             quiet_exceptions=StreamClosedError,
         )
 
-    def eviction_rank(self, unchanged_s: float) -> int | None:
+    def eviction_rank(self, inactive_s: float) -> int | None:
         """Returns the rank for the connection table; None while a command runs."""
         if self.is_finished:
             return RANK_FINISHED
--- a/spanwing/frontends/balancers/agent_check.py
+++ b/spanwing/frontends/balancers/agent_check.py
@@ -109,7 +109,7 @@
         elif not self.is_finished and now - self.last_activity_s >= REQUEST_TIMEOUT_S:
             self.send_reply(self.requested_class())
 
-    def eviction_rank(self, unchanged_s: float) -> int | None:
+    def eviction_rank(self, inactive_s: float) -> int | None:
         """Returns RANK_FINISHED: any connection may be evicted."""
         return RANK_FINISHED  # its line is written or about to be
 
--- a/spanwing/frontends/balancers/grpc_health.py
+++ b/spanwing/frontends/balancers/grpc_health.py
@@ -356,7 +356,7 @@
         else:
             self.stream.close()
 
-    def eviction_rank(self, unchanged_s: float) -> int | None:
+    def eviction_rank(self, inactive_s: float) -> int | None:
         """Returns the rank for the connection table; None while a call is open."""
         if self.is_finished:
             return RANK_FINISHED
--- a/spanwing/frontends/faktory.py
+++ b/spanwing/frontends/faktory.py
@@ -355,14 +355,14 @@
         """
         return max(self.idle_since_s, self.line_stream.last_read_s)
 
-    def eviction_rank(self, unchanged_s: float) -> int | None:
+    def eviction_rank(self, inactive_s: float) -> int | None:
         """Returns the rank for the connection table; None if it must not be evicted."""
         if self.is_finished:
             return RANK_FINISHED
         if self.is_busy or self.worker is not None:  # a worker counts as gone when its last connection ends
             return None
         if self.line_stream.data:
-            return RANK_PARTIAL if unchanged_s > PARTIAL_MESSAGE_S else None
+            return RANK_PARTIAL if inactive_s > PARTIAL_MESSAGE_S else None
         return RANK_SILENT if self.hello is None else RANK_IDLE
 
     def has_no_pending_input(self) -> bool:
--- a/spanwing/frontends/http_server.py
+++ b/spanwing/frontends/http_server.py
@@ -223,17 +223,17 @@
         """
         return max(self.idle_since_s, self.http.last_read_s)
 
-    def eviction_rank(self, unchanged_s: float) -> int | None:
+    def eviction_rank(self, inactive_s: float) -> int | None:
         """Returns the rank for the connection table; None while a request is answered."""
         if self.is_finished:
             return RANK_FINISHED
         if self.is_busy:
             return None
         if not self.http.parser.is_idle():
-            return RANK_PARTIAL if unchanged_s > self.server.partial_message_s else None
+            return RANK_PARTIAL if inactive_s > self.server.partial_message_s else None
         if not self.has_sent_request:
             return RANK_SILENT
-        return RANK_STALE if unchanged_s > PARTIAL_MESSAGE_S else RANK_IDLE
+        return RANK_STALE if inactive_s > PARTIAL_MESSAGE_S else RANK_IDLE
 
     def has_no_pending_input(self) -> bool:
         """Returns whether nothing unread has come."""
--- a/spanwing/net/connection_table.py
+++ b/spanwing/net/connection_table.py
@@ -26,7 +26,7 @@
     is_finished: bool  # the last response is written, the peer has not closed yet
     last_activity_s: float  # start of its present state (loop time, s)
 
-    def eviction_rank(self, unchanged_s: float) -> int | None:
+    def eviction_rank(self, inactive_s: float) -> int | None:
         """Returns one of the ranks above; None: it must not be evicted."""
 
     def has_no_pending_input(self) -> bool:
