--- a/spanwing/daemon.py
+++ b/spanwing/daemon.py
@@ -255,7 +255,7 @@
                     self.buffer_pool,
                     MAX_MANAGEMENT_CONNECTIONS,
                     is_single_request=True,
-                    partial_message_s=0.0,
+                    partial_message_grace_s=0.0,
                 ),
             )
             self.print_address("management", server.address)
--- a/spanwing/frontends/http_server.py
+++ b/spanwing/frontends/http_server.py
@@ -230,7 +230,7 @@
         if self.is_busy:
             return None
         if not self.http.parser.is_idle():
-            return RANK_PARTIAL if inactive_s > self.server.partial_message_s else None
+            return RANK_PARTIAL if inactive_s > self.server.partial_message_grace_s else None
         if not self.has_sent_request:
             return RANK_SILENT
         return RANK_STALE if inactive_s > PARTIAL_MESSAGE_S else RANK_IDLE
@@ -260,12 +260,12 @@
         proxy_sources: tuple[Network, ...] = (),
         shared_socket: socket.socket | None = None,
         is_single_request: bool = False,
-        partial_message_s: float = PARTIAL_MESSAGE_S,
+        partial_message_grace_s: float = PARTIAL_MESSAGE_S,
     ) -> None:
         self.proxy_sources = proxy_sources
         self.is_single_request = is_single_request  # each connection carries one request
-        self.partial_message_s = (
-            partial_message_s  # if the table is full, an incomplete request may be cut off after this
+        self.partial_message_grace_s = (
+            partial_message_grace_s  # if the table is full, an incomplete request may be cut off after this
         )
         self.frontend, self.request_manager, self.buffers = frontend, request_manager, buffers
         self.retry_after_ms = min(
