--- a/spanwing/discovery/call.py
+++ b/spanwing/discovery/call.py
@@ -1,4 +1,7 @@
-"""One call to discovery over HTTP: connect, write, wait for the whole answer; a typed outcome either way."""
+"""One HTTP call to discovery: connects, sends the request and reads the whole response.
+
+Every call ends in a CallResult, which holds either the endpoint list or a CallFailure.
+"""
 
 from __future__ import annotations
 
@@ -19,8 +22,8 @@
 from spanwing.net.http import TOO_LARGE_STATUS, HttpError, HttpStream, encode_request
 from spanwing.net.tcp_stream import TcpStream
 
-MAX_WORKERS = 3200  # of one fleet
-MAX_ENTRY_BYTES = 1280  # of one worker in a list, indented
+MAX_WORKERS = 3200  # in one fleet
+MAX_ENTRY_BYTES = 1280  # one worker's entry in an indented list
 MAX_LIST_BYTES = MAX_WORKERS * MAX_ENTRY_BYTES
 
 
@@ -38,7 +41,7 @@
 
 
 class DiscoveredEndpoints(msgspec.Struct):
-    """The endpoint list, or a change of it."""
+    """A response of discovery: the complete endpoint list, or the entries that have changed."""
 
     revision: int = 0
     complete: bool = False
@@ -46,36 +49,36 @@
 
 
 class CallLimits(NamedTuple):
-    """How long the stages of a call may take, in seconds."""
+    """Timeouts of the stages of a call."""
 
-    connect_s: float
-    begin_s: float  # from the start of the call to the first byte of the answer
-    stall_s: float  # longest gap within the answer
-    answer_s: float = 2.0  # from the first byte of a small answer to its last
+    connect_timeout_s: float
+    first_byte_timeout_s: float  # from the start of the call to the first byte of the answer
+    stall_timeout_s: float  # longest gap within the answer
+    answer_timeout_s: float = 2.0  # from the first byte to the last; extended for a large answer
 
 
-MIN_ANSWER_BYTES_PER_S = 128 * 1024  # a large answer may take longer by its size
+MIN_ANSWER_BYTES_PER_S = 128 * 1024  # extends answer_timeout_s by the time for the bytes received so far
 
 
 class CallResult(NamedTuple):
-    """How a call ended; exactly one of endpoints and failure is set."""
+    """How a call ended; exactly one of endpoints and failure is set. Times are loop times in seconds."""
 
     endpoints: DiscoveredEndpoints | None
     failure: CallFailure | None
-    began_s: float  # loop time, as all
+    began_s: float
     ended_s: float
-    first_byte_s: float | None  # of the answer; None: nothing came
-    last_byte_s: float | None
-    received_bytes: int = 0  # of the answer, its head included
-    detail: str = ""  # what was wrong with the answer
+    first_byte_s: float | None  # when the answer began; None if no byte arrived
+    last_byte_s: float | None  # when the last byte of the answer arrived
+    received_bytes: int = 0  # size of the answer, including its head
+    detail: str = ""  # why the answer was rejected
 
 
 class AnswerOverdueError(Exception):
-    """The next bytes of an answer did not come in time."""
+    """The next bytes of an answer did not arrive before their deadline."""
 
 
 class AnswerStream(HttpStream):
-    """Reads one answer at a time, each read bounded by the limits of the call."""
+    """Reads one answer at a time; every read has a deadline from the limits of the call."""
 
     def __init__(self, stream: IOStream, buffers: BufferPool) -> None:
         super().__init__(stream, buffers, parses_responses=True, max_body_bytes=MAX_LIST_BYTES)
@@ -84,7 +87,7 @@
         self.on_first_byte: Callable[[float], None] = lambda _: None
         self.began_s = 0.0
         self.first_byte_s: float | None = None
-        self.received_bytes = 0  # of the present answer
+        self.received_bytes = 0  # of the current answer
 
     def begin_call(self, began_s: float, limits: CallLimits) -> None:
         """Sets the limits for the next answer."""
@@ -94,8 +97,8 @@
     async def read(self, sink: bytearray) -> bool:
         """Appends the next input to sink; returns False if the connection has ended.
 
-        Raises AnswerOverdueError. A process that was held up finds its timer over and its input unread: the
-        input counts.
+        Raises AnswerOverdueError if the deadline has passed and no input is pending. After a pause of the
+        process, both the timer and the input may be due; the input is then read.
         """
         try:
             reading = self._begin_read()
@@ -120,17 +123,17 @@
         except TornadoTimeoutError:
             if self.has_no_pending_input():
                 raise AnswerOverdueError from None
-            await sleep(0)  # the loop reads it in its next turn
+            await sleep(0)  # the event loop reads the pending input in its next iteration
 
     def _next_byte_deadline_s(self) -> float:
         if self.first_byte_s is None:
-            return self.began_s + self.limits.begin_s
-        answer_s = self.limits.answer_s + self.received_bytes / MIN_ANSWER_BYTES_PER_S
-        return min(self.last_read_s + self.limits.stall_s, self.first_byte_s + answer_s)
+            return self.began_s + self.limits.first_byte_timeout_s
+        answer_timeout_s = self.limits.answer_timeout_s + self.received_bytes / MIN_ANSWER_BYTES_PER_S
+        return min(self.last_read_s + self.limits.stall_timeout_s, self.first_byte_s + answer_timeout_s)
 
 
 class DiscoveryConnection:
-    """The connection to one discovery; opened anew by the next call after any failure."""
+    """A connection to one discovery address; after a failure the next call opens a new one."""
 
     def __init__(
         self,
@@ -138,7 +141,10 @@
         buffers: BufferPool,
         on_first_byte: Callable[[float], None] = lambda _: None,
     ) -> None:
-        """on_first_byte: called with the loop time at which an answer begins."""
+        """Initializes the connection without opening it.
+
+        on_first_byte is called with the loop time at which an answer begins.
+        """
         self.address, self.buffers, self.on_first_byte = address, buffers, on_first_byte
         self.stream: AnswerStream | None = None
 
@@ -148,17 +154,17 @@
             self.stream.close()
 
     async def fetch(self, since: int | None, hold_s: float, limits: CallLimits) -> CallResult:
-        """Asks for the endpoint list.
+        """Requests the endpoint list.
 
-        since: the revision after which changes are awaited for hold_s; None: the complete list, at once.
-        Never raises; after a failure the connection is closed.
+        With a revision in since, discovery waits up to hold_s for later changes before it answers. With None
+        it returns the complete list immediately. Failures are returned, not raised, and close the connection.
         """
         loop = IOLoop.current()
         began_s = loop.time()
         target = "/discovery/hosts"
         if since is not None:
             target += f"?since={since}&timeout_ms={hold_s * 1000.0:.0f}"
-        endpoints, failure, detail = None, await self._open(limits.connect_s), ""
+        endpoints, failure, detail = None, await self._open(limits.connect_timeout_s), ""
         stream = self.stream
         if failure is CallFailure.NO_SOCKET:
             return CallResult(None, failure, began_s, loop.time(), None, None)
@@ -181,19 +187,19 @@
             detail,
         )
 
-    async def _open(self, connect_s: float) -> CallFailure | None:
-        """Opens a connection, unless the present one can carry another request."""
+    async def _open(self, connect_timeout_s: float) -> CallFailure | None:
+        """Opens a connection unless the current one can be reused; returns the failure, if any."""
         if self.stream is not None and self.stream.is_reusable():
             return None
         try:
             stream = TcpStream(open_socket(self.address))
             self.stream = AnswerStream(stream, self.buffers)
             self.stream.on_first_byte = self.on_first_byte
-        except OSError:  # no descriptor or buffer for the moment
+        except OSError:  # the system is out of descriptors or buffers
             return CallFailure.NO_SOCKET
         try:
             await with_timeout(
-                timedelta(seconds=connect_s),
+                timedelta(seconds=connect_timeout_s),
                 stream.connect(self.address.socket_address),
                 quiet_exceptions=StreamClosedError,
             )
@@ -207,13 +213,13 @@
 async def _exchange(
     stream: AnswerStream, request: bytes
 ) -> tuple[DiscoveredEndpoints | None, CallFailure | None, str]:
-    """Returns the list or the failure of one call, and what was wrong with its answer."""
+    """Sends a request and reads the answer; returns the list or the failure, and the failure's detail."""
     try:
         await stream.write(request)
         response = await stream.receive()
     except AnswerOverdueError:
         return None, CallFailure.NO_ANSWER if stream.first_byte_s is None else CallFailure.STALLED, ""
-    except StreamClosedError:  # while the request was written
+    except StreamClosedError:  # the connection ended while the request was being written
         return None, CallFailure.CLOSED, ""
     except HttpError as error:
         is_too_large = error.status == TOO_LARGE_STATUS
--- a/spanwing/discovery/call_failure.py
+++ b/spanwing/discovery/call_failure.py
@@ -1,4 +1,4 @@
-"""Why a call to discovery brought no endpoint list."""
+"""The failures of a call to discovery."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 
 class CallFailure(enum.StrEnum):
-    """Why a call brought no list."""
+    """Why a call returned no endpoint list."""
 
-    NO_SOCKET = "no_socket"  # the system gave none
+    NO_SOCKET = "no_socket"  # the system could not create a socket
     CONNECT_TIMEOUT = "connect_timeout"
     CONNECT_FAILED = "connect_failed"
-    NO_ANSWER = "no_answer"  # no byte within the time allowed
-    STALLED = "stalled"  # the answer began and was not complete within the time allowed
+    NO_ANSWER = "no_answer"  # no byte arrived before the timeout
+    STALLED = "stalled"  # the answer began but was not complete before its deadline
     CLOSED = "closed"  # the connection ended before the answer began
     CUT_OFF = "cut_off"  # the connection ended within the answer
-    MALFORMED = "malformed"  # no HTTP
-    TOO_LARGE = "too_large"  # a list beyond MAX_LIST_BYTES
-    STATUS = "status"  # an answer that is not 200
-    UNREADABLE = "unreadable"  # no endpoint list
+    MALFORMED = "malformed"  # the answer is not valid HTTP
+    TOO_LARGE = "too_large"  # the list exceeds MAX_LIST_BYTES
+    STATUS = "status"  # the status of the answer is not 200
+    UNREADABLE = "unreadable"  # the body is not a valid endpoint list
 
 
-#: Failures that show that discovery answers nobody, or that nothing reaches it; by the protocol page a call
-#: that fails ends with 503 or a reset.
+#: Failures that show that discovery serves no scheduler at all, or cannot be reached. The discovery protocol
+#: rejects a call with 503 or a connection reset.
 UNREACHABLE_FAILURES = frozenset(
     {
         CallFailure.CONNECT_TIMEOUT,
--- a/spanwing/discovery/call_log.py
+++ b/spanwing/discovery/call_log.py
@@ -1,4 +1,4 @@
-"""Log events of the calls to discovery."""
+"""Log events for calls to discovery."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 def log_list(since: int | None, result: CallResult) -> None:
-    """Logs a list that brought something; since: the revision that was asked for."""
+    """Logs a list unless it holds no change; since is the revision that was requested."""
     endpoints = result.endpoints
     if not endpoints.members and not endpoints.complete:
-        return  # the hold time is over, and nothing has changed
+        return  # the hold time of the poll ran out without a change
     log_event(
         "discovery_list",
         since=since,
@@ -24,7 +24,7 @@
 
 
 def log_failure(since: int | None, result: CallResult, retry_s: float) -> None:
-    """Logs a failed call; retry_s: the pause before the next."""
+    """Logs a failed call; retry_s is the pause before the next call."""
     last_byte_s = None if result.last_byte_s is None else round(result.last_byte_s - result.began_s, 3)
     log_event(
         "discovery_call_failed",
--- a/spanwing/discovery/client.py
+++ b/spanwing/discovery/client.py
@@ -1,4 +1,8 @@
-"""The discovery client: the endpoint list, the watch on it, and the connections of the workers it names."""
+"""The discovery client: keeps the endpoint list current and owns the connection actors of its workers.
+
+The client watches discovery by long polls, applies every answer to its worker table and announces the changes
+to the core. It tracks the freshness of the list, so that nothing is sent based on a stale one.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +29,7 @@
 from spanwing.discovery.call_failure import UNREACHABLE_FAILURES, CallFailure
 from spanwing.discovery.call_log import log_failure, log_list
 from spanwing.discovery.freshness import CallTiming, EndpointFreshness, Freshness
-from spanwing.discovery.persisted_list import START_RETRY_S, PersistedListPolicy
+from spanwing.discovery.persisted_list import MAX_START_RETRY_S, PersistedListPolicy
 from spanwing.discovery.worker_table import WorkerFactory, WorkerTable
 from spanwing.log.events import log_event
 from spanwing.net.address import Address
@@ -33,9 +37,9 @@
 from spanwing.workers.http_worker import HttpWorker, WorkerCallback
 from spanwing.workers.worker_id import worker_id_of
 
-IMMEDIATE_POLL_HOLD_S = 0.001  # after a failure, or at the start, a call is answered at once, changes or not
-CALLS_UNTIL_UNREACHABLE = 8  # failed in a row, before the state is logged: restarts and moves are ordinary
-WATCH_RESTART_S = 0.1
+IMMEDIATE_POLL_HOLD_S = 0.001  # makes discovery answer immediately, with or without changes
+FAILED_CALLS_UNTIL_LOGGED = 8  # in a row, before UNREACHABLE is logged; restarts and moves are routine
+WATCH_RESTART_S = 0.1  # pause after an unexpected exception in the watch
 STATE_OF_PHASE: dict[str, api.State] = {"active": "healthy", "leaving": "draining", "left": "gone"}
 
 logger = logging.getLogger("spanwing")
@@ -43,27 +47,27 @@
 
 @dataclass(slots=True, eq=False)
 class DiscoveryWatch:
-    """The calls to one discovery; their answers count until the next watch has begun."""
+    """A sequence of calls to one discovery address; its answers are ignored once it has been replaced."""
 
     address: Address
-    revision: int | None  # None: fetch the complete list first
+    revision: int | None  # revision of the last answer; None: fetch the complete list first
     connection: DiscoveryConnection
 
 
 class StartWatch(NamedTuple):
-    """Start to watch, at a random moment within this time."""
+    """Starts the watch after a random delay of at most max_delay_s."""
 
-    within_s: float = 0.0
+    max_delay_s: float = 0.0
 
 
 class ChangeDiscovery(NamedTuple):
-    """Discovery has another address from now on."""
+    """Discovery has a new address."""
 
     address: Address
 
 
 class WatchAnswer(NamedTuple):
-    """Discovery has answered."""
+    """Discovery has answered a call of this watch."""
 
     endpoints: DiscoveredEndpoints
     watch: DiscoveryWatch
@@ -71,11 +75,11 @@
 
 
 class WorkerCallbackReceived(NamedTuple):
-    """A callback from the worker of this name."""
+    """A call-back from the named worker."""
 
     worker_name: str
     callback: WorkerCallback
-    is_from_peer_process: bool = False  # forwarded by another process; never forwarded again
+    is_from_peer_process: bool = False  # forwarded by another process, so it is not forwarded again
 
 
 class WorkerRetired(NamedTuple):
@@ -86,7 +90,7 @@
 
 
 class DiscoveryClient(Actor):
-    """Owns the endpoint list; notifies the core of changes."""
+    """Owns the endpoint list and announces its changes to the core."""
 
     def __init__(
         self,
@@ -101,29 +105,28 @@
         self.timing = timing
         self.freshness = EndpointFreshness(timing, self.loop.time())
         self.logged_state = Freshness.CURRENT
-        self.failed_calls: Counter[str] = Counter()  # by reason, refused connects left out
+        self.failed_calls: Counter[str] = Counter()  # by reason; refused connections are not counted
         self.discovery_address, self.listener, self.buffers = discovery_address, listener, buffers
         self.table = WorkerTable(make_worker, lambda name, worker: self.post(WorkerRetired(name, worker)))
         self.revision: int | None = endpoints.revision
-        self.on_unknown_callback: Callable[[WorkerCallbackReceived], None] | None = (
-            None  # gets callbacks about attempts that are not of this process
-        )
+        #: Receives call-backs for attempts that are not in flight in this process.
+        self.on_unknown_callback: Callable[[WorkerCallbackReceived], None] | None = None
         self.current_watch: DiscoveryWatch | None = None
-        #: The core has the list. A persisted one is of unknown age: it is announced with the first answer
-        #: merged into it, or as it is once discovery turned out to answer nobody.
+        #: Set once the list was announced to the core. A persisted list is of unknown age. It is announced
+        #: with the first answer merged into it, or unconfirmed if discovery is unavailable to all.
         self.announced = Event()
         self.persisted_list_policy = PersistedListPolicy()
-        self.has_answer = False  # the list was read, or taken over from a process that follows it
+        self.has_confirmed_list = False  # fetched from discovery, or adopted from a process that follows it
         self._update_workers(endpoints, "persisted")
 
     def listed_workers(self) -> list[DiscoveredWorker]:
-        """Returns the list as discovery gave it, without the fleet's zone states."""
+        """Returns the entries as received from discovery, without the fleet's zone states applied."""
         return list(self.table.entries.values())
 
     def adopt_endpoints(self, endpoints: DiscoveredEndpoints) -> None:
-        """Takes over another process's list of the same discovery, unless it is older.
+        """Adopts another process's list of the same discovery, unless the list is empty or older.
 
-        That process sends by it at this moment; how much longer it may is not known here.
+        The other process is using the list at this moment, but its deadline is not known here.
         """
         if not endpoints.members:
             return
@@ -133,19 +136,19 @@
             self._update_workers(endpoints, "persisted")
         if is_newer or not self.announced.is_set():
             self._announce_all("persisted")
-            self.has_answer = True
+            self.has_confirmed_list = True
             self.freshness.note_adopted(self.loop.time())
 
     def get_or_create_worker(self, name: str, address: str) -> HttpWorker:
-        """Returns the worker of this name and address, listed or not."""
+        """Returns the worker with this name and address; creates it if it is not listed."""
         return self.table.get_or_create_worker(name, address)
 
-    def watch(self, within_s: float = 0.0) -> None:
-        """Starts the watch, unless one is running, at a random moment within this time."""
-        self.post(StartWatch(within_s))
+    def watch(self, max_delay_s: float = 0.0) -> None:
+        """Starts the watch after a random delay of at most max_delay_s, unless one is running."""
+        self.post(StartWatch(max_delay_s))
 
     def change_discovery(self, address: Address) -> None:
-        """Watches the discovery at another address from now on."""
+        """Watches discovery at a new address."""
         self.post(ChangeDiscovery(address))
 
     def handle_message(self, message: Any) -> None:
@@ -154,14 +157,14 @@
 
     def _handle_start_watch(self, start: StartWatch) -> None:
         if self.current_watch is None:
-            self._start_watch(random.uniform(0.0, start.within_s))
+            self._start_watch(random.uniform(0.0, start.max_delay_s))
 
-    def _handle_change_discovery(self, move: ChangeDiscovery) -> None:
-        if move.address == self.discovery_address:
+    def _handle_change_discovery(self, change: ChangeDiscovery) -> None:
+        if change.address == self.discovery_address:
             return
-        # Revisions belong to one discovery: the new one is asked for its complete list, and late answers of
-        # the former cannot undo it. Attempts in flight at workers depend on neither.
-        self.discovery_address, self.revision = move.address, None
+        # Revisions of two discoveries cannot be compared, so the new one is asked for its complete list, and
+        # late answers of the old one are ignored. Attempts in flight are not affected.
+        self.discovery_address, self.revision = change.address, None
         if self.current_watch is not None:
             self.current_watch.connection.close()
         self.freshness.note_moved(self.loop.time())
@@ -178,39 +181,38 @@
             self.freshness.note_answer_begun(first_byte_s)
 
     def is_stale(self) -> bool:
-        """Returns whether nothing may be sent by the list: discovery can be reached, and no whole answer came
-        in time.
-        """
+        """Returns whether nothing may be sent based on the list, as its deadline has passed."""
         return self.freshness.is_stale(self.loop.time())
 
     def violates_drain_rule(self) -> bool:
-        """Returns whether a send by the list would break the rule on drains, by its age alone."""
+        """Returns whether the list is so old that a send based on it could violate the drain rule."""
         return self.freshness.violates_drain_rule(self.loop.time())
 
     def is_unconfirmed(self) -> bool:
-        """Returns whether the list is still the one that the process was started with, of unknown age."""
-        return not self.has_answer
+        """Returns whether the list is still the persisted one from the start, whose age is unknown."""
+        return not self.has_confirmed_list
 
     async def _keep_watching(self, watch: DiscoveryWatch, delay_s: float) -> None:
-        """Runs the watch until it is replaced, and again after a fault of the program: a process without a
-        watch could only reject.
+        """Runs the watch until it is replaced, and restarts it after an unexpected exception.
+
+        Without a watch, the list goes stale and the process can only reject requests.
         """
         await sleep(delay_s)
         while self.current_watch is watch:
             try:
                 await self._run_watch(watch)
-            except Exception:  # counted and logged; the next call may well succeed
-                logger.exception("fault in the watch on discovery")
+            except Exception:  # counted and logged; the next call may succeed
+                logger.exception("unexpected exception in the discovery watch; restarting the watch")
                 self.failed_calls["fault"] += 1
                 self.freshness.note_unanswered()
                 await sleep(WATCH_RESTART_S)
 
     async def _run_watch(self, watch: DiscoveryWatch) -> None:
-        """Calls discovery until the watch is replaced, each call right after the last: a pause of 200 ms
-        would end the watch on the other side.
+        """Calls discovery until the watch is replaced.
 
-        The first call, and each after a failure, has to be answered at once: the silence of a poll could be a
-        lost answer. Every failure is repeated from here, with a pause that the freshness of the list allows.
+        Each call follows the last one without a pause, as discovery ends a watch after a pause of 200 ms. The
+        first call and each call after a failure request an immediate answer, because a lost answer looks like
+        a poll without changes. Failed calls are repeated after a pause that the freshness of the list allows.
         """
         may_poll = False
         while self.current_watch is watch:
@@ -229,13 +231,13 @@
     def _call_limits(self, is_poll: bool) -> CallLimits:
         timing = self.timing
         if is_poll:
-            begin_s = timing.poll_hold_s + timing.answer_margin_s
-            return CallLimits(timing.answer_margin_s, begin_s, timing.stall_s)
-        patience_s = self.freshness.patience_s(self.loop.time())
-        return CallLimits(patience_s, patience_s, timing.stall_s)
+            first_byte_timeout_s = timing.poll_hold_s + timing.answer_margin_s
+            return CallLimits(timing.answer_margin_s, first_byte_timeout_s, timing.stall_timeout_s)
+        call_timeout_s = self.freshness.call_timeout_s(self.loop.time())
+        return CallLimits(call_timeout_s, call_timeout_s, timing.stall_timeout_s)
 
     def _note_failure(self, since: int | None, result: CallResult) -> float:
-        """Notes a failed call; returns the pause in seconds before the next."""
+        """Records a failed call; returns the pause in seconds before the next call."""
         if result.failure in UNREACHABLE_FAILURES:
             self.freshness.note_unreachable(result.began_s)
         else:
@@ -243,11 +245,11 @@
         pause_s = self.freshness.pause_s(random, result.began_s, self.loop.time())
         if not self.announced.is_set():
             if result.failure in UNREACHABLE_FAILURES:
-                pause_s = min(pause_s, random.uniform(0.0, START_RETRY_S))
+                pause_s = min(pause_s, random.uniform(0.0, MAX_START_RETRY_S))
             if self.persisted_list_policy.may_serve_after(result.failure, result.began_s, self.loop.time()):
                 self.freshness.note_unreachable(result.began_s)
                 self._announce_all("persisted")
-        # While nothing listens there, a line a call says nothing new: the state is logged.
+        # A refused connection is not logged for each call; _log_state() logs the outage instead.
         if result.failure is not CallFailure.CONNECT_FAILED:
             self.failed_calls[str(result.failure)] += 1
             log_failure(since, result, pause_s)
@@ -255,9 +257,9 @@
         return pause_s
 
     def _log_state(self) -> None:
-        """Logs a change of the list's freshness; a refused connect counts once it has lasted."""
+        """Logs a change of the list's freshness; UNREACHABLE only after FAILED_CALLS_UNTIL_LOGGED calls."""
         state = self.freshness.state(self.loop.time())
-        if state is Freshness.UNREACHABLE and self.freshness.failed_calls < CALLS_UNTIL_UNREACHABLE:
+        if state is Freshness.UNREACHABLE and self.freshness.failed_calls < FAILED_CALLS_UNTIL_LOGGED:
             return
         if state is self.logged_state:
             return
@@ -268,15 +270,15 @@
             state=str(state),
             failed_calls=self.freshness.failed_calls,
             revision=self.revision,
-            is_from_discovery=self.has_answer,
+            is_from_discovery=self.has_confirmed_list,
         )
 
     def _handle_watch_answer(self, answer: WatchAnswer) -> None:
-        if answer.watch is not self.current_watch:  # answer of a former watch
+        if answer.watch is not self.current_watch:  # the watch has been replaced
             return
         self.revision = answer.endpoints.revision
         self._apply_endpoints(answer.endpoints, "complete" if answer.endpoints.complete else "partial")
-        self.has_answer = True
+        self.has_confirmed_list = True
         self.freshness.note_answer(answer.first_byte_s)
         self._log_state()
 
@@ -288,7 +290,7 @@
             self._announce_all("complete")
 
     def _announce_all(self, scope: str) -> None:
-        """Announces the whole list as it is now."""
+        """Announces the complete current list."""
         self.announced.set()
         self._announce(self.listed_workers(), scope)
 
@@ -298,7 +300,7 @@
 
     def _update_workers(self, endpoints: DiscoveredEndpoints, scope: str) -> None:
         for phase in {each.phase for each in endpoints.members} - STATE_OF_PHASE.keys():
-            logger.warning("unknown phase %r of a job worker, taken as leaving", phase)
+            logger.warning("job workers have the unknown phase %r; they are treated as leaving", phase)
         if scope == "partial":
             self.table.update(endpoints.members)
         else:
@@ -308,12 +310,11 @@
         self.table.drop_retired(retired.worker_name, retired.worker)
 
     def _handle_callback(self, received: WorkerCallbackReceived) -> None:
-        worker = self.table.actor_of(received.worker_name, received.callback.request)
+        worker = self.table.actor_with_attempt(received.worker_name, received.callback.request)
         if worker is not None:
             worker.post(received.callback)
-        elif (
-            self.on_unknown_callback is not None and not received.is_from_peer_process
-        ):  # the attempt is another process's, or has ended
+        elif self.on_unknown_callback is not None and not received.is_from_peer_process:
+            # The attempt belongs to another process or has ended.
             self.on_unknown_callback(received)
 
 
--- a/spanwing/discovery/freshness.py
+++ b/spanwing/discovery/freshness.py
@@ -1,13 +1,16 @@
-"""How fresh the endpoint list is, by when it must be read again, and how the calls are timed to manage that.
+"""Freshness of the endpoint list: its deadline, and the timing of the calls that renew it.
 
-Pure; times are loop time in seconds. The figures are those of the protocol page and of STANDING.md: what
-discovery has counts as notified at the latest NOTIFIED_S after it had it and could be reached, whether or
-not it arrived, and sends have to stop drain_grace later. What it has begun to write counts as notified at
-once. So one deadline rules all calls: by then a whole answer must have been applied that discovery began to
-give after the last one. Past it the list is stale: nothing may be sent by it.
+The discovery protocol counts a change as notified, whether or not it has arrived, as soon as discovery begins
+to write it in an answer, and at the latest MAX_NOTIFICATION_DELAY_S after discovery had the change and was
+reachable. Sends to a draining worker must stop drain_grace after its notification. The list therefore has a
+deadline by which the next complete answer must have been applied. After the deadline the list is stale, and
+nothing may be sent based on it.
 
-A discovery that answers nobody notifies nobody, so the deadline moves on with each call that it refuses;
-but only if nothing was missed before: what it had while it could be reached still counts.
+An unavailable discovery notifies no scheduler, so each call that it refuses extends the deadline. The
+exception is a list that has missed an answer before: changes from the time when discovery was reachable
+still count.
+
+Pure; times are loop times in seconds.
 """
 
 from __future__ import annotations
@@ -16,151 +19,157 @@
 import random
 from typing import NamedTuple
 
-NOTIFIED_S = 6.0  # after discovery had a change and could be reached
-POLL_HOLD_S = 3.0  # a poll without changes is answered after this, so that silence is noticed soon
-DISCOVERY_MOVE_NOTIFIED_S = 4.0  # after a change of discovery's address
-HELD_UP_S = 0.15  # a process may be held up for this long between reading its clock and writing
-MAX_ANSWER_MARGIN_S = 1.5  # a poll's answer is due this long after its hold
-MAX_PATIENCE_S = 3.3  # discovery itself fails a call that waited 3 s: its word is worth waiting for
-MIN_PATIENCE_S = 0.25
-PATIENCE_SHARE = 0.6  # of the time that is left: the rest is for further calls
-MAX_STALL_S, MIN_STALL_S = 0.5, 0.1  # bounds on the longest gap within an answer
-MAX_SPREAD_S = 3.0  # calls to a discovery that was unreachable are spread over this, against a herd
-ADOPTED_WITHIN_S = 1.0  # a list taken over from another process has to be confirmed by a call within this
-OWN_FAULT_RETRY_S = 0.25  # a call that failed in its answer concerns us alone: it is repeated within this
-MAX_DOUBLINGS = 8
-FAST_RETRIES = 3  # in a row; then the pause doubles, as the failure may be one that never passes
+MAX_NOTIFICATION_DELAY_S = 6.0  # after discovery had a change and was reachable
+POLL_HOLD_S = 3.0  # a poll without changes is answered after this; short, so that silence is noticed soon
+MAX_MOVE_NOTIFICATION_DELAY_S = 4.0  # after a change of discovery's address
+MAX_PROCESS_PAUSE_S = 0.15  # tolerated pause of the process between reading its clock and writing
+MAX_ANSWER_MARGIN_S = 1.5  # a poll's answer must begin this long after the end of its hold
+MAX_CALL_TIMEOUT_S = 3.3  # discovery itself rejects a waiting call after 3 s; its answer is worth the wait
+MIN_CALL_TIMEOUT_S = 0.25
+CALL_TIMEOUT_SHARE = 0.6  # of the time to the deadline; the rest is left for further calls
+MAX_STALL_TIMEOUT_S, MIN_STALL_TIMEOUT_S = 0.5, 0.1  # bounds on the longest gap within an answer
+MAX_RETRY_SPREAD_S = 3.0  # spreads a fleet's retries after an outage of discovery, against a thundering herd
+ADOPTED_LIST_CONFIRM_TIMEOUT_S = 1.0  # a call must confirm an adopted list within this time
+INCOMPLETE_ANSWER_RETRY_S = 0.25  # retried soon, as an incomplete answer affects this scheduler alone
+MAX_BACKOFF_DOUBLINGS = 8
+FAST_RETRIES = 3  # in a row; after these the pause doubles, as the failure may be permanent
 
 
 class CallTiming(NamedTuple):
-    """The spans of the calls, from the settings."""
+    """Durations that time the calls and bound the age of the list."""
 
     poll_hold_s: float = POLL_HOLD_S
     answer_margin_s: float = MAX_ANSWER_MARGIN_S
-    stall_s: float = MAX_STALL_S  # an answer that has begun may pause for this long
-    stale_after_s: float = NOTIFIED_S + 2.0 - HELD_UP_S  # after the list was last known to be current
-    spread_s: float = MAX_SPREAD_S  # longest pause before a call to a discovery that was unreachable
-    moved_within_s: float = DISCOVERY_MOVE_NOTIFIED_S + 2.0 - HELD_UP_S
-    max_patience_s: float = MAX_PATIENCE_S
-    drain_grace_s: float = 2.0  # as the settings have it
-    stale_after_unapplied_s: float = 2.0 - HELD_UP_S  # after an answer began that was not applied
+    stall_timeout_s: float = MAX_STALL_TIMEOUT_S  # longest gap within an answer
+    #: Lifetime of the list after it was last known to be current.
+    stale_after_s: float = MAX_NOTIFICATION_DELAY_S + 2.0 - MAX_PROCESS_PAUSE_S
+    retry_spread_s: float = MAX_RETRY_SPREAD_S  # longest pause before a retry while discovery is unreachable
+    #: Lifetime of the list after a change of discovery's address.
+    stale_after_move_s: float = MAX_MOVE_NOTIFICATION_DELAY_S + 2.0 - MAX_PROCESS_PAUSE_S
+    max_call_timeout_s: float = MAX_CALL_TIMEOUT_S
+    drain_grace_s: float = 2.0  # from the settings
+    #: Lifetime of the list after an answer has begun, unless that answer is applied.
+    stale_after_unapplied_s: float = 2.0 - MAX_PROCESS_PAUSE_S
 
     @classmethod
     def from_settings(cls, drain_grace_ms: float, is_pushed: bool) -> CallTiming:
-        """Computes the spans.
+        """Computes the durations from the settings.
 
-        is_pushed: what discovery has counts at once whenever no watch is open, so failed calls are repeated
-        within half of the grace.
+        With is_pushed, changes count as notified immediately whenever no watch is open, so failed calls are
+        retried within half of the grace.
         """
-        grace_s = max(0.0, drain_grace_ms / 1000.0 - HELD_UP_S)
-        stale_after_s = NOTIFIED_S + grace_s
+        grace_s = max(0.0, drain_grace_ms / 1000.0 - MAX_PROCESS_PAUSE_S)
+        stale_after_s = MAX_NOTIFICATION_DELAY_S + grace_s
         return cls(
             poll_hold_s=POLL_HOLD_S,
             answer_margin_s=min(MAX_ANSWER_MARGIN_S, (stale_after_s - POLL_HOLD_S) / 3.0),
-            stall_s=min(MAX_STALL_S, max(MIN_STALL_S, grace_s / 4.0)),
+            stall_timeout_s=min(MAX_STALL_TIMEOUT_S, max(MIN_STALL_TIMEOUT_S, grace_s / 4.0)),
             stale_after_s=stale_after_s,
-            spread_s=max(0.05, min(1.0, drain_grace_ms / 2000.0))
+            retry_spread_s=max(0.05, min(1.0, drain_grace_ms / 2000.0))
             if is_pushed
-            else min(MAX_SPREAD_S, 0.4 * stale_after_s),
-            moved_within_s=DISCOVERY_MOVE_NOTIFIED_S + grace_s,
+            else min(MAX_RETRY_SPREAD_S, 0.4 * stale_after_s),
+            stale_after_move_s=MAX_MOVE_NOTIFICATION_DELAY_S + grace_s,
             drain_grace_s=drain_grace_ms / 1000.0,
             stale_after_unapplied_s=grace_s,
-            max_patience_s=max(MIN_PATIENCE_S, grace_s / 2.0) if is_pushed else MAX_PATIENCE_S,
+            max_call_timeout_s=max(MIN_CALL_TIMEOUT_S, grace_s / 2.0) if is_pushed else MAX_CALL_TIMEOUT_S,
         )
 
 
 class Freshness(enum.StrEnum):
-    """What the list is worth."""
+    """State of the endpoint list."""
 
-    CURRENT = "current"  # a whole answer came in time
-    OVERDUE = "overdue"  # an answer was due; calls are being repeated, and there is time left
-    UNREACHABLE = "unreachable"  # discovery answers nobody: nothing counts as notified
-    STALE = (
-        "stale"  # discovery can be reached and no whole answer came in time: nothing may be sent by the list
-    )
+    CURRENT = "current"  # the last call returned a complete answer
+    OVERDUE = "overdue"  # the last calls failed and are being retried; the deadline has not passed
+    UNREACHABLE = "unreachable"  # discovery is unavailable to every scheduler; nothing counts as notified
+    STALE = "stale"  # the deadline has passed; nothing may be sent based on the list
 
 
 class EndpointFreshness:
-    """Keeps the deadline by which the list must be read again."""
+    """Tracks the deadline by which the list must be renewed, from the outcome of every call."""
 
     def __init__(self, timing: CallTiming, now_s: float) -> None:
         self.timing = timing
-        self.current_until_s = now_s + timing.stale_after_s  # by the last answer, or the last refused call
-        #: First byte of the earliest answer that is not applied yet; None: none has begun.
-        self.unread_since_s: float | None = None
-        self.unread_before_call_s: float | None = None  # the same, before the present call
-        self.has_missed = False  # discovery could be reached, and a call brought no whole answer since
+        self.current_until_s = now_s + timing.stale_after_s  # set by the last answer or the last refused call
+        #: First byte of the earliest answer that has not been applied; None if there is none.
+        self.unapplied_since_s: float | None = None
+        #: Value of unapplied_since_s before the current call, restored if the call is refused.
+        self.unapplied_before_call_s: float | None = None
+        #: A call has reached discovery without a complete answer, and none has been applied since.
+        self.has_missed_answer = False
         self.is_unreachable = False
         self.failed_calls = 0  # in a row
-        #: When the list was last known to be current, or discovery to answer nobody; None: never here.
-        self.confirmed_s: float | None = None
+        #: When this process last knew the list to be current or discovery to be unavailable; None: never.
+        self.last_confirmed_s: float | None = None
 
     @property
     def deadline_s(self) -> float:
-        """By when a whole answer must have been applied."""
-        if self.unread_since_s is None:
+        """Returns the time by which a complete answer must have been applied."""
+        if self.unapplied_since_s is None:
             return self.current_until_s
-        return min(self.current_until_s, self.unread_since_s + self.timing.stale_after_unapplied_s)
+        return min(self.current_until_s, self.unapplied_since_s + self.timing.stale_after_unapplied_s)
 
     def note_answer_begun(self, first_byte_s: float) -> None:
-        """Notes the first byte of an answer: what it says counts as notified from now on."""
-        self.unread_before_call_s = self.unread_since_s
-        if self.unread_since_s is None:
-            self.unread_since_s = first_byte_s
+        """Notes the first byte of an answer; its changes count as notified from this time."""
+        self.unapplied_before_call_s = self.unapplied_since_s
+        if self.unapplied_since_s is None:
+            self.unapplied_since_s = first_byte_s
 
     def note_answer(self, current_as_of_s: float) -> None:
-        """Notes that a whole answer was applied, which discovery began to give at this time."""
-        self.is_unreachable, self.has_missed, self.failed_calls = False, False, 0
-        if self.unread_since_s is not None and self.unread_since_s <= current_as_of_s:
-            self.unread_since_s = None
-        self.unread_before_call_s = self.unread_since_s
+        """Notes that a complete answer was applied; it began at current_as_of_s."""
+        self.is_unreachable, self.has_missed_answer, self.failed_calls = False, False, 0
+        if self.unapplied_since_s is not None and self.unapplied_since_s <= current_as_of_s:
+            self.unapplied_since_s = None
+        self.unapplied_before_call_s = self.unapplied_since_s
         self.current_until_s = max(self.current_until_s, current_as_of_s + self.timing.stale_after_s)
-        self.confirmed_s = current_as_of_s
+        self.last_confirmed_s = current_as_of_s
 
     def note_unreachable(self, call_began_s: float) -> None:
-        """Notes a call that discovery refused, or that did not get through to it.
+        """Notes a call that discovery refused or that did not reach it.
 
-        The refusal itself is no list, so its bytes notify of nothing.
+        A refusal contains no list, so its bytes do not count as a notification.
         """
         self.is_unreachable = True
         self.failed_calls += 1
-        self.unread_since_s = self.unread_before_call_s
-        if not self.has_missed and self.unread_since_s is None:
+        self.unapplied_since_s = self.unapplied_before_call_s
+        if not self.has_missed_answer and self.unapplied_since_s is None:
             self.current_until_s = max(self.current_until_s, call_began_s + self.timing.stale_after_s)
-            self.confirmed_s = call_began_s
+            self.last_confirmed_s = call_began_s
 
     def note_unanswered(self) -> None:
-        """Notes a call that got through and brought no whole answer: the deadline stays."""
-        self.is_unreachable, self.has_missed = False, True
-        self.unread_before_call_s = self.unread_since_s
+        """Notes a call that reached discovery without a complete answer; the deadline is unchanged."""
+        self.is_unreachable, self.has_missed_answer = False, True
+        self.unapplied_before_call_s = self.unapplied_since_s
         self.failed_calls += 1
 
     def note_adopted(self, now_s: float) -> None:
-        """Notes that the list is that of another process, of which only the revision is known."""
-        self.current_until_s = min(self.current_until_s, now_s + ADOPTED_WITHIN_S)
-        self.confirmed_s = now_s
+        """Notes that the list was adopted from another process; only its revision is known, not its age."""
+        self.current_until_s = min(self.current_until_s, now_s + ADOPTED_LIST_CONFIRM_TIMEOUT_S)
+        self.last_confirmed_s = now_s
 
     def note_moved(self, now_s: float) -> None:
-        """Notes that discovery has another address from now on: never more time than there was."""
+        """Notes that discovery has a new address; this never extends the deadline."""
         self.is_unreachable = False
-        self.current_until_s = min(self.current_until_s, now_s + self.timing.moved_within_s)
-        if self.confirmed_s is not None:
-            self.confirmed_s = min(self.confirmed_s, now_s + DISCOVERY_MOVE_NOTIFIED_S - NOTIFIED_S)
+        self.current_until_s = min(self.current_until_s, now_s + self.timing.stale_after_move_s)
+        if self.last_confirmed_s is not None:
+            self.last_confirmed_s = min(
+                self.last_confirmed_s, now_s + MAX_MOVE_NOTIFICATION_DELAY_S - MAX_NOTIFICATION_DELAY_S
+            )
 
     def violates_drain_rule(self, now_s: float) -> bool:
-        """Returns whether a send by the list would break the rule on drains, by its age alone.
+        """Returns whether the list is so old that a send based on it could violate the drain rule.
 
-        Computed apart from the deadline, to check it: the deadline ends HELD_UP_S earlier.
+        The rule forbids sends to a worker later than the grace after its drain was notified. This check is
+        independent of the deadline, which is MAX_PROCESS_PAUSE_S earlier, and serves to verify it.
         """
-        if self.confirmed_s is None:
+        if self.last_confirmed_s is None:
             return True
-        notified_s = self.confirmed_s + NOTIFIED_S
-        if self.unread_since_s is not None:
-            notified_s = min(notified_s, self.unread_since_s)
+        notified_s = self.last_confirmed_s + MAX_NOTIFICATION_DELAY_S
+        if self.unapplied_since_s is not None:
+            notified_s = min(notified_s, self.unapplied_since_s)
         return now_s > notified_s + self.timing.drain_grace_s
 
     def is_stale(self, now_s: float) -> bool:
-        """Returns whether nothing may be sent by the list any more."""
+        """Returns whether the deadline has passed, so that nothing may be sent based on the list."""
         return now_s >= self.deadline_s
 
     def state(self, now_s: float) -> Freshness:
@@ -171,21 +180,21 @@
             return Freshness.UNREACHABLE
         return Freshness.OVERDUE if self.failed_calls else Freshness.CURRENT
 
-    def patience_s(self, now_s: float) -> float:
-        """Returns how long the next call may take that has to be answered at once."""
+    def call_timeout_s(self, now_s: float) -> float:
+        """Returns the timeout in seconds of a call that discovery should answer immediately."""
         if self.is_stale(now_s):
-            return self.timing.max_patience_s
-        share_s = PATIENCE_SHARE * (self.deadline_s - now_s)
-        return min(self.timing.max_patience_s, max(MIN_PATIENCE_S, share_s))
+            return self.timing.max_call_timeout_s
+        share_s = CALL_TIMEOUT_SHARE * (self.deadline_s - now_s)
+        return min(self.timing.max_call_timeout_s, max(MIN_CALL_TIMEOUT_S, share_s))
 
-    def pause_s(self, draw: random.Random, call_began_s: float, now_s: float) -> float:
-        """Returns the pause before the next call, after one that failed (full jitter).
+    def pause_s(self, rng: random.Random, call_began_s: float, now_s: float) -> float:
+        """Returns the pause in seconds before the call after a failed one (backoff with full jitter).
 
-        Calls to a discovery that was unreachable begin spread_s apart at most, so that a fleet does not come
-        back at once; the time that the failed call took is part of that.
+        While discovery is unreachable, the next call begins up to retry_spread_s after the beginning of the
+        failed one, so that the calls of a fleet are spread when discovery returns.
         """
-        doublings = min(MAX_DOUBLINGS, max(0, self.failed_calls - FAST_RETRIES))
-        pause_s = draw.uniform(0.0, min(OWN_FAULT_RETRY_S * 2**doublings, self.timing.spread_s))
+        doublings = min(MAX_BACKOFF_DOUBLINGS, max(0, self.failed_calls - FAST_RETRIES))
+        pause_s = rng.uniform(0.0, min(INCOMPLETE_ANSWER_RETRY_S * 2**doublings, self.timing.retry_spread_s))
         if self.is_unreachable:
-            pause_s = max(pause_s, call_began_s + draw.uniform(0.0, self.timing.spread_s) - now_s)
+            pause_s = max(pause_s, call_began_s + rng.uniform(0.0, self.timing.retry_spread_s) - now_s)
         return pause_s
--- a/spanwing/discovery/worker_table.py
+++ b/spanwing/discovery/worker_table.py
@@ -1,7 +1,7 @@
-"""The listed workers by their number, with a connection actor for each that is used.
+"""The workers of the endpoint list by worker id, with a connection actor for each one in use.
 
-A large fleet lists far more workers than one scheduler sends to, so an actor is made at its first use. An
-actor whose worker leaves the list, or changes its address, stays until nothing is in flight there.
+A large fleet lists far more workers than one scheduler sends to, so an actor is created at its first use. If
+its worker leaves the list or changes its address, the actor is kept until nothing is in flight there.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 
 
 class WorkerTable(Mapping[int, HttpWorker]):
-    """Maps the numbers of the listed workers to their connection actors."""
+    """Maps the ids of the listed workers to their connection actors, which are created on access."""
 
     def __init__(self, make_worker: WorkerFactory, on_retired: Callable[[str, HttpWorker], None]) -> None:
         self.make_worker, self.on_retired = make_worker, on_retired
-        self.entries: dict[str, DiscoveredWorker] = {}  # by name: the last entry of each listed worker
-        self.names: dict[int, str] = {}  # of the listed workers
-        self.actors: dict[str, HttpWorker] = {}  # by name, those that were made
-        self.actor_addresses: dict[str, str] = {}
-        self.replaced_actors: dict[str, list[HttpWorker]] = {}  # their workers have another address now
+        self.entries: dict[str, DiscoveredWorker] = {}  # by name: the latest entry of each listed worker
+        self.names: dict[int, str] = {}  # by worker id: the names of the listed workers
+        self.actors: dict[str, HttpWorker] = {}  # by name: the actors created so far
+        self.actor_addresses: dict[str, str] = {}  # by name: the address of each actor
+        self.replaced_actors: dict[str, list[HttpWorker]] = {}  # by name: actors of former addresses
 
     def __getitem__(self, worker_id: int) -> HttpWorker:
-        """Returns the worker's actor; raises KeyError if it is not listed or has no valid address."""
+        """Returns the worker's actor; raises KeyError if it is not listed or its address is invalid."""
         name = self.names[worker_id]
         actor = self.actors.get(name)
         return self._make_actor(name) if actor is None else actor
@@ -46,9 +46,10 @@
         return len(self.names)
 
     def get_or_create_worker(self, name: str, address: str) -> HttpWorker:
-        """Returns the worker of this name and address.
+        """Returns the actor for this worker name and address.
 
-        For one that is not listed (any more) a new one is made, which closes once nothing is in flight there.
+        If none matches, for example as the worker has left the list, a new actor is created that closes once
+        nothing is in flight there. Raises ValueError if the address is invalid.
         """
         entry = self.entries.get(name)
         if entry is not None and entry.host_port == address:
@@ -62,14 +63,14 @@
         return actor
 
     def replace(self, members: Iterable[DiscoveredWorker]) -> None:
-        """Applies a whole list."""
+        """Applies a complete list; workers that it does not contain are removed."""
         listed = {each.id for each in members}
         for name in [name for name in self.entries if name not in listed]:
             self._remove(name)
         self.update(members)
 
     def update(self, members: Iterable[DiscoveredWorker]) -> None:
-        """Applies changes; an entry that says nothing new costs next to nothing."""
+        """Applies changed entries; unchanged entries are skipped."""
         for member in members:
             if self.entries.get(member.id) != member:
                 self._update_entry(member)
@@ -106,7 +107,7 @@
         try:
             address = parse_address(entry.host_port)
         except ValueError as error:
-            logger.warning("a job worker's address: %s", error)
+            logger.warning("ignoring a job worker with an invalid address: %s", error)
             raise KeyError(name) from None
         actor = self.actors[name] = self._new_actor(name, address)
         self.actor_addresses[name] = entry.host_port
@@ -117,27 +118,29 @@
         return self.make_worker(name, address, lambda actor: self.on_retired(name, actor))
 
     def drop_retired(self, name: str, actor: HttpWorker) -> None:
-        """Drops an actor that has closed, unless its worker was listed again meanwhile."""
+        """Drops an actor that has closed, unless its worker has been listed again in the meantime."""
         replaced = self.replaced_actors.get(name, [])
         if actor in replaced:
             replaced.remove(actor)
             if not replaced:
                 del self.replaced_actors[name]
-        # A worker listed again while it closed keeps its actor, or its callbacks would be lost.
+        # A worker that was listed again while its actor closed keeps the actor, as its callbacks would be
+        # lost otherwise.
         if self.actors.get(name) is actor and name not in self.entries:
             del self.actors[name], self.actor_addresses[name]
 
-    def actor_of(self, name: str, request: str) -> HttpWorker | None:
-        """Returns the actor that has an attempt of this request in flight, at the worker of this name.
+    def actor_with_attempt(self, name: str, request: str) -> HttpWorker | None:
+        """Returns the named worker's actor that has an attempt of this request in flight, or None.
 
-        A worker may have moved under one name; attempts accepted at its old address end by callback too.
+        Actors of the worker's former addresses are searched too: an attempt that was accepted at a former
+        address also ends with a call-back.
         """
         candidates = (self.actors.get(name), *self.replaced_actors.get(name, ()))
         return next((each for each in candidates if each is not None and request in each.attempts), None)
 
 
 def set_draining(actor: HttpWorker, is_draining: bool) -> None:
-    """Tells an actor whether its worker drains."""
+    """Sets whether the actor's worker is draining."""
     if is_draining:
         actor.start_draining()
     else:
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -28,7 +28,7 @@
 LAG_S = 0.5  # other tests take processor time; accepting fails for 0.9 s
 BROKEN = (errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.ENETUNREACH, errno.EPIPE, errno.ENOBUFS)
 NO_RESOURCES = (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM)
-TIMING = CallTiming(0.1, 0.1, 0.05, stale_after_s=20.0, spread_s=0.05, max_patience_s=0.2)
+TIMING = CallTiming(0.1, 0.1, 0.05, stale_after_s=20.0, retry_spread_s=0.05, max_call_timeout_s=0.2)
 
 
 class Reads(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -9,10 +9,10 @@
 from hypothesis import strategies as st
 
 from spanwing.discovery.freshness import (
-    HELD_UP_S,
-    MIN_PATIENCE_S,
-    NOTIFIED_S,
-    OWN_FAULT_RETRY_S,
+    INCOMPLETE_ANSWER_RETRY_S,
+    MAX_NOTIFICATION_DELAY_S,
+    MAX_PROCESS_PAUSE_S,
+    MIN_CALL_TIMEOUT_S,
     CallTiming,
     EndpointFreshness,
     Freshness,
@@ -40,7 +40,7 @@
         now_s = timing.poll_hold_s + timing.answer_margin_s
         for _ in range(2):
             freshness.note_unanswered()
-            now_s += OWN_FAULT_RETRY_S + freshness.patience_s(now_s + OWN_FAULT_RETRY_S)
+            now_s += INCOMPLETE_ANSWER_RETRY_S + freshness.call_timeout_s(now_s + INCOMPLETE_ANSWER_RETRY_S)
             self.assertLessEqual(now_s, freshness.deadline_s)
 
     @given(GRACES_MS, st.booleans())
@@ -48,14 +48,16 @@
         self, grace_ms: float, is_pushed: bool
     ) -> None:
         timing = CallTiming.from_settings(grace_ms, is_pushed)
-        allowed_s = NOTIFIED_S + grace_ms / 1000.0
-        self.assertLessEqual(timing.stale_after_s + min(HELD_UP_S, grace_ms / 1000.0), allowed_s + 1e-9)
+        allowed_s = MAX_NOTIFICATION_DELAY_S + grace_ms / 1000.0
+        self.assertLessEqual(
+            timing.stale_after_s + min(MAX_PROCESS_PAUSE_S, grace_ms / 1000.0), allowed_s + 1e-9
+        )
 
     @given(st.floats(200.0, 5000.0))
     def test_an_answer_that_stalls_is_repeated_within_the_grace(self, grace_ms: float) -> None:
         timing = CallTiming.from_settings(grace_ms, False)
-        self.assertLessEqual(timing.stall_s, max(0.1, grace_ms / 4000.0))
-        self.assertLessEqual(timing.stall_s, 0.5)
+        self.assertLessEqual(timing.stall_timeout_s, max(0.1, grace_ms / 4000.0))
+        self.assertLessEqual(timing.stall_timeout_s, 0.5)
 
     @given(st.floats(100.0, 5000.0), st.integers())
     def test_pushed_lists_are_asked_for_again_within_half_of_the_grace(
@@ -71,7 +73,7 @@
     def setUp(self) -> None:
         self.freshness = EndpointFreshness(CallTiming.from_settings(2000.0, False), 100.0)
         self.freshness.note_answer(100.0)
-        self.stale_s = 100.0 + NOTIFIED_S + 2.0 - HELD_UP_S
+        self.stale_s = 100.0 + MAX_NOTIFICATION_DELAY_S + 2.0 - MAX_PROCESS_PAUSE_S
 
     def test_a_list_is_stale_from_the_deadline_on_however_many_calls_were_made(self) -> None:
         for _ in range(20):
@@ -96,11 +98,11 @@
         self.freshness.note_unreachable(150.0)
         self.freshness.note_unanswered()
         self.assertEqual(self.freshness.state(151.0), Freshness.OVERDUE)
-        self.assertTrue(self.freshness.is_stale(150.0 + NOTIFIED_S + 2.0 - HELD_UP_S))
+        self.assertTrue(self.freshness.is_stale(150.0 + MAX_NOTIFICATION_DELAY_S + 2.0 - MAX_PROCESS_PAUSE_S))
 
     def test_another_discovery_has_less_time(self) -> None:
         self.freshness.note_moved(103.0)
-        self.assertTrue(self.freshness.is_stale(103.0 + 4.0 + 2.0 - HELD_UP_S))
+        self.assertTrue(self.freshness.is_stale(103.0 + 4.0 + 2.0 - MAX_PROCESS_PAUSE_S))
 
     def test_a_list_that_this_process_never_confirmed_breaks_the_rule(self) -> None:
         freshness = EndpointFreshness(CallTiming.from_settings(2000.0, False), 100.0)
@@ -118,18 +120,18 @@
 
     def test_an_answer_that_was_not_taken_counts_as_notified_from_its_first_byte(self) -> None:
         self.freshness.note_answer_begun(103.0)
-        self.assertFalse(self.freshness.is_stale(103.0 + 2.0 - HELD_UP_S - 0.01))
-        self.assertTrue(self.freshness.is_stale(103.0 + 2.0 - HELD_UP_S))
+        self.assertFalse(self.freshness.is_stale(103.0 + 2.0 - MAX_PROCESS_PAUSE_S - 0.01))
+        self.assertTrue(self.freshness.is_stale(103.0 + 2.0 - MAX_PROCESS_PAUSE_S))
         self.freshness.note_unanswered()
         self.freshness.note_answer_begun(104.0)
-        self.assertTrue(self.freshness.is_stale(103.0 + 2.0 - HELD_UP_S))
+        self.assertTrue(self.freshness.is_stale(103.0 + 2.0 - MAX_PROCESS_PAUSE_S))
         self.freshness.note_answer(104.0)
         self.assertFalse(self.freshness.is_stale(110.0))
 
     def test_an_answer_that_began_before_the_one_that_was_applied_is_not_made_good_by_it(self) -> None:
         self.freshness.note_answer_begun(103.0)
         self.freshness.note_answer(102.0)
-        self.assertTrue(self.freshness.is_stale(103.0 + 2.0 - HELD_UP_S))
+        self.assertTrue(self.freshness.is_stale(103.0 + 2.0 - MAX_PROCESS_PAUSE_S))
 
     def test_calls_that_are_refused_renew_no_list_that_missed_an_answer_before(self) -> None:
         for begins in (False, True):
@@ -176,26 +178,26 @@
                     self.assertFalse(freshness.violates_drain_rule(now_s + later_s))
 
     def test_patience_is_a_share_of_the_time_that_is_left_and_has_bounds(self) -> None:
-        self.assertEqual(self.freshness.patience_s(100.0), 3.3)
-        self.assertLess(self.freshness.patience_s(self.stale_s - 1.0), 0.61)
-        self.assertEqual(self.freshness.patience_s(self.stale_s - 0.01), MIN_PATIENCE_S)
-        self.assertEqual(self.freshness.patience_s(self.stale_s + 10.0), 3.3)
+        self.assertEqual(self.freshness.call_timeout_s(100.0), 3.3)
+        self.assertLess(self.freshness.call_timeout_s(self.stale_s - 1.0), 0.61)
+        self.assertEqual(self.freshness.call_timeout_s(self.stale_s - 0.01), MIN_CALL_TIMEOUT_S)
+        self.assertEqual(self.freshness.call_timeout_s(self.stale_s + 10.0), 3.3)
 
     def test_a_failure_that_never_passes_is_repeated_ever_more_seldom(self) -> None:
         """The fleet asks for a large list again and again otherwise, several times a second each."""
-        draw, now_s, calls = random.Random(1), 100.0, 0
+        rng, now_s, calls = random.Random(1), 100.0, 0
         while now_s < 160.0:
             self.freshness.note_unanswered()
-            now_s += self.freshness.pause_s(draw, now_s, now_s)
+            now_s += self.freshness.pause_s(rng, now_s, now_s)
             calls += 1
         self.assertLess(calls, 65)  # some 480 at 0.125 s each
 
     def test_the_time_that_a_failed_call_waited_counts_into_the_pause(self) -> None:
         self.freshness.note_unreachable(100.0)
-        draw = random.Random(1)
-        self.assertGreater(max(self.freshness.pause_s(draw, 100.0, 100.0) for _ in range(200)), 2.0)
+        rng = random.Random(1)
+        self.assertGreater(max(self.freshness.pause_s(rng, 100.0, 100.0) for _ in range(200)), 2.0)
         self.assertLessEqual(
-            max(self.freshness.pause_s(draw, 100.0, 103.0) for _ in range(200)), OWN_FAULT_RETRY_S
+            max(self.freshness.pause_s(rng, 100.0, 103.0) for _ in range(200)), INCOMPLETE_ANSWER_RETRY_S
         )
 
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -16,7 +16,11 @@
 from spanwing.discovery.call import MAX_LIST_BYTES, DiscoveredEndpoints, DiscoveredWorker
 from spanwing.discovery.client import DiscoveryClient
 from spanwing.discovery.freshness import CallTiming
-from spanwing.discovery.persisted_list import SILENT_START_CALLS, START_PATIENCE_S, START_RETRY_S
+from spanwing.discovery.persisted_list import (
+    MAX_START_RETRY_S,
+    MAX_UNANSWERED_START_CALLS,
+    START_REJECTION_WAIT_S,
+)
 from spanwing.net.address import Address, parse_address
 from spanwing.net.buffers import BufferPool
 
@@ -52,7 +56,7 @@
 class Silent(unittest.IsolatedAsyncioTestCase):
     """Discovery takes the calls of a watch and answers only those that the test wants answered."""
 
-    timing = CallTiming(0.1, 0.1, 0.05, stale_after_s=20.0, spread_s=0.05, max_patience_s=0.2)
+    timing = CallTiming(0.1, 0.1, 0.05, stale_after_s=20.0, retry_spread_s=0.05, max_call_timeout_s=0.2)
 
     async def asyncSetUp(self) -> None:
         self.calls: asyncio.Queue[tuple[str, asyncio.StreamWriter]] = asyncio.Queue()
@@ -158,7 +162,7 @@
         began_s = asyncio.get_running_loop().time()
         await self.called()
         took_s = asyncio.get_running_loop().time() - began_s
-        self.assertLess(took_s, self.timing.max_patience_s)  # sooner than a call without any byte
+        self.assertLess(took_s, self.timing.max_call_timeout_s)  # sooner than a call without any byte
         self.assertEqual(self.map.failed_calls["stalled"], 1)
 
     async def test_an_answer_in_many_pieces_counts(self) -> None:
@@ -217,7 +221,7 @@
             SimpleNamespace(post=self.told.put_nowait),
             BufferPool(),
             lambda *_: worker,
-            CallTiming(1.0, 0.2, 0.1, stale_after_s=20.0, spread_s=0.05, max_patience_s=0.3),
+            CallTiming(1.0, 0.2, 0.1, stale_after_s=20.0, retry_spread_s=0.05, max_call_timeout_s=0.3),
         )
         self.client.watch()
 
@@ -262,7 +266,7 @@
         self.assertTrue(self.told.empty())
 
     async def test_a_first_answer_that_can_never_be_taken_is_asked_for_ever_more_seldom(self) -> None:
-        self.client.freshness.timing = self.client.freshness.timing._replace(spread_s=3.0)
+        self.client.freshness.timing = self.client.freshness.timing._replace(retry_spread_s=3.0)
         count, end_s = 0, asyncio.get_running_loop().time() + 6.0
         while (left_s := end_s - asyncio.get_running_loop().time()) > 0.0:
             with suppress(TimeoutError):
@@ -281,15 +285,15 @@
                 writer.write(b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n")
                 count += 1
         self.assertEqual(await self.announced(), ("persisted", ["healthy", "healthy"]))
-        self.assertGreaterEqual(asyncio.get_running_loop().time() - began_s, START_PATIENCE_S)
-        self.assertGreater(count, START_PATIENCE_S / START_RETRY_S)
+        self.assertGreaterEqual(asyncio.get_running_loop().time() - began_s, START_REJECTION_WAIT_S)
+        self.assertGreater(count, START_REJECTION_WAIT_S / MAX_START_RETRY_S)
 
     async def test_once_nothing_listens_there_it_is_all_there_is(self) -> None:
         self.client.change_discovery(parse_address("127.0.0.1:9"))
         self.assertEqual(await self.announced(), ("persisted", ["healthy", "healthy"]))
 
     async def test_a_silent_discovery_is_asked_again_as_one_answer_may_be_lost(self) -> None:
-        for _ in range(SILENT_START_CALLS):
+        for _ in range(MAX_UNANSWERED_START_CALLS):
             self.assertTrue(self.told.empty())
             await self.calls.get()
         self.assertTrue(self.told.empty())
