--- a/spanwing/net/__init__.py
+++ b/spanwing/net/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes and sockets: HTTP, RESP, streams, buffers, addresses, connection tables; independent of the core."""
+"""Networking: HTTP, RESP, streams, buffers, addresses and connection tables; independent of the core."""
--- a/spanwing/net/accepting.py
+++ b/spanwing/net/accepting.py
@@ -1,4 +1,8 @@
-"""Accepting connections although accept() fails: which errors pass, and the pause before the next try."""
+"""Accepts connections on a listening socket, and keeps accepting after accept() has failed.
+
+A connection that broke before it was accepted is skipped. If the system is out of descriptors or memory,
+accepting pauses for ACCEPT_PAUSE_S while connections wait in the backlog.
+"""
 
 from __future__ import annotations
 
@@ -11,14 +15,14 @@
 
 logger = logging.getLogger("spanwing")
 
-MAX_ACCEPTS_PER_TURN = 16  # then what was sent on open connections is read
-ACCEPT_PAUSE_S = 0.05  # with no descriptor or memory, the listener would be ready again at once
-#: The system has no room; the connection stays in the backlog.
+MAX_ACCEPTS_PER_TURN = 16  # per iteration of the event loop, so that input on open connections is read too
+ACCEPT_PAUSE_S = 0.05  # without a pause, a listener that lacks resources would keep the event loop busy
+#: The system is out of descriptors or memory; the connection stays in the backlog.
 NO_RESOURCE_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 
 
 class ConnectionAcceptor:
-    """Accepts on a listening socket while it is started."""
+    """Accepts connections on a listening socket while it is started."""
 
     def __init__(
         self, listening_socket: socket.socket, on_connection: Callable[[socket.socket], None]
@@ -27,18 +31,18 @@
         self.loop = IOLoop.current()
         self.is_started = False
         self.pause_timer: object | None = None
-        self.failed_accepts = 0  # in a row, for want of resources
-        #: Since when connections have waited in the backlog, at most; None: they are accepted as they come.
+        self.failed_accepts = 0  # in a row, as the system was out of resources
+        #: Since when connections may have waited in the backlog; None: it was empty when last checked.
         self.waiting_since_s: float | None = None
 
     def start(self) -> None:
-        """Accepts from now on."""
+        """Starts accepting."""
         if not self.is_started:
             self.is_started = True
             self._add_handler()
 
     def stop(self) -> None:
-        """Accepts no more; connections wait in the backlog."""
+        """Stops accepting; new connections wait in the backlog."""
         if not self.is_started:
             return
         self.is_started = False
@@ -50,7 +54,7 @@
             self.loop.remove_handler(self.listening_socket)
 
     def backlog_wait_s(self) -> float:
-        """Returns how long the connection that is being accepted may have waited, at most."""
+        """Returns the longest time in seconds that the connection being accepted may have waited."""
         return 0.0 if self.waiting_since_s is None else self.loop.time() - self.waiting_since_s
 
     def _add_handler(self) -> None:
@@ -70,9 +74,9 @@
                 if error.errno in NO_RESOURCE_ERRORS:
                     self._pause(error)
                     return
-                continue  # that connection broke before it was accepted (accept(2))
+                continue  # the connection broke before it was accepted (accept(2))
             if self.failed_accepts:
-                logger.warning("accept succeeds again, after %d failures", self.failed_accepts)
+                logger.warning("accept() succeeds again after %d failures", self.failed_accepts)
                 self.failed_accepts = 0
             self.on_connection(connection)
 
@@ -81,5 +85,5 @@
         self.pause_timer = self.loop.call_later(ACCEPT_PAUSE_S, self._add_handler)
         self.waiting_since_s = self.waiting_since_s or self.loop.time()
         if not self.failed_accepts:
-            logger.warning("accept fails: %s", error)
+            logger.warning("accept() failed: %s; retrying until resources are available", error)
         self.failed_accepts += 1
--- a/spanwing/net/address.py
+++ b/spanwing/net/address.py
@@ -1,4 +1,4 @@
-"""Host and port, and the sockets made from them."""
+"""Network addresses, and the listening and connecting sockets created from them."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class Address(NamedTuple):
-    """A numeric address; names are not resolved (the platform has no DNS)."""
+    """A numeric IP address and a port; host names are not resolved, as the platform has no DNS."""
 
     host: str
     port: int
 
     @property
     def socket_address(self) -> tuple[str, int]:
-        """Returns the pair that the socket module takes."""
+        """Returns the address as the pair that the socket module expects."""
         return (self.host, self.port)
 
     def __str__(self) -> str:
@@ -29,7 +29,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Parses HOST:PORT with a numeric host ([HOST]:PORT for IPv6); raises ValueError."""
+    """Parses HOST:PORT with a numeric host ([HOST]:PORT for IPv6); raises ValueError if it is invalid."""
     host, colon, port = text.rpartition(":")
     host = host.strip("[]")
     try:
@@ -38,7 +38,7 @@
     except ValueError:
         raise ValueError(f"{text!r} is not HOST:PORT with a numeric host") from None
     if not colon or not 0 <= number <= 65535:
-        raise ValueError(f"{text!r} has no valid port")
+        raise ValueError(f"{text!r} has no port between 0 and 65535")
     return Address(host, number)
 
 
@@ -52,19 +52,19 @@
 
 
 class ListeningSocket(NamedTuple):
-    """A listening socket: its address, with the port the system chose for 0, and what closes it."""
+    """A listening socket: its address, with the port that the system chose for port 0, and its operations."""
 
     address: Address
     close: Callable[[], None]
-    set_accepting: Callable[[bool], None] = lambda accepts: None  # pause accepting, and resume
-    accept_pending_and_close: Callable[[], None] = lambda: None  # accepts the backlog and closes, in one step
-    backlog_wait_s: Callable[[], float] = lambda: 0.0  # of the connection that is being accepted, at most
+    set_accepting: Callable[[bool], None] = lambda is_accepting: None  # resumes (True) or pauses accepting
+    accept_pending_and_close: Callable[[], None] = lambda: None  # accepts the backlog, then closes
+    backlog_wait_s: Callable[[], float] = lambda: 0.0  # longest wait of the connection being accepted
 
 
 def adopt_listening_socket(descriptor: int) -> socket.socket:
-    """Returns the listening socket that the parent process holds open as this descriptor.
+    """Returns the listening socket that the parent process passed on as this descriptor.
 
-    Raises OSError.
+    Raises OSError if the descriptor is not a listening TCP socket; it is left open.
     """
     sock = socket.socket(fileno=descriptor)
     if not (
@@ -73,7 +73,7 @@
         and sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
     ):
         sock.detach()
-        raise OSError(22, "it is no listening TCP socket")
+        raise OSError(22, "the descriptor is not a listening TCP socket")
     return sock
 
 
@@ -82,9 +82,10 @@
     on_connection: Callable[[socket.socket], None],
     shared_socket: socket.socket | None = None,
 ) -> ListeningSocket:
-    """Listens on exactly this address, or takes part in a socket that other processes accept on too.
+    """Listens on this address, or accepts on a listening socket shared with other processes.
 
-    A shared socket is closed here at the end and never shut down. Raises OSError.
+    A shared socket is only closed at the end, never shut down, so that the other processes can go on
+    accepting. Raises OSError.
     """
     listening_socket = shared_socket or open_socket(address)
     listening_socket.setblocking(False)
@@ -98,8 +99,8 @@
         listening_socket.listen(512)
     acceptor = ConnectionAcceptor(listening_socket, on_connection)
 
-    def set_accepting(accepts: bool) -> None:
-        if accepts:
+    def set_accepting(is_accepting: bool) -> None:
+        if is_accepting:
             acceptor.start()
         else:
             acceptor.stop()
@@ -110,7 +111,7 @@
 
     def accept_pending_and_close() -> None:
         with suppress(OSError):
-            while acceptor.is_started:  # the kernel resets what is in the backlog of a listener that closes
+            while acceptor.is_started:  # closing a listener makes the kernel reset connections in its backlog
                 on_connection(listening_socket.accept()[0])
         close()
 
@@ -127,20 +128,21 @@
 def listen_unix(path: str, on_connection: Callable[[socket.socket], None]) -> ListeningSocket:
     """Listens on a Unix socket that only the process's own user may use (mode 0600).
 
-    A socket file left by a process that has ended is replaced. Raises OSError.
+    A stale socket file, on which no process listens, is replaced. Raises OSError, also if another process
+    listens there.
     """
     _remove_stale_socket(path)
     listening_socket = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     listening_socket.setblocking(False)
-    mask = os.umask(0o177)  # the mode must be right from the start
+    previous_umask = os.umask(0o177)  # the file must never exist with a wider mode
     try:
         listening_socket.bind(path)
     except OSError:
         listening_socket.close()
         raise
     finally:
-        os.umask(mask)
-    own_stat = os.stat(path)
+        os.umask(previous_umask)
+    bound_stat = os.stat(path)
     listening_socket.listen(16)
     acceptor = ConnectionAcceptor(listening_socket, on_connection)
     acceptor.start()
@@ -150,10 +152,10 @@
         listening_socket.close()
         try:
             current_stat = os.stat(path)
-            if (current_stat.st_dev, current_stat.st_ino) == (own_stat.st_dev, own_stat.st_ino):
+            if (current_stat.st_dev, current_stat.st_ino) == (bound_stat.st_dev, bound_stat.st_ino):
                 os.unlink(path)
         except OSError:
-            pass  # already gone
+            pass  # the file has already been removed
 
     return ListeningSocket(Address(path, 0), close)
 
@@ -161,7 +163,7 @@
 def _remove_stale_socket(path: str) -> None:
     try:
         if not stat.S_ISSOCK(os.stat(path).st_mode):
-            raise OSError(17, "something else is there")
+            raise OSError(17, "the path exists and is not a socket")
     except FileNotFoundError:
         return
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe_socket:
@@ -170,4 +172,4 @@
         except ConnectionRefusedError:
             os.unlink(path)
             return
-    raise OSError(98, "in use by another process")
+    raise OSError(98, "another process is listening on this socket")
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -138,7 +138,7 @@
             await asyncio.sleep(4.0)
         finally:
             await fleet.stop()
-        self.assertIn("accept fails", fleet.logs["n0"])
+        self.assertIn("accept() failed", fleet.logs["n0"])
         self.assertGreater(sum(each.status == 200 for each in fleet.records.requests), 100)
         violations = judge(fleet.records, fleet.rules._replace(lag_s=LAG_S))
         self.assertEqual([str(each) for each in violations[:5]], [])
