--- a/spanwing/net/proxied_connections.py
+++ b/spanwing/net/proxied_connections.py
@@ -1,7 +1,7 @@
-"""Connections on which a balancer speaks the PROXY protocol: which peers do, and reading the header.
+"""Connections from load balancers that send a PROXY protocol header.
 
-A header is required on each connection of the listed addresses and accepted from no other, where it would
-break the protocol of the port. So a client cannot forge its address.
+Every connection from a configured source must begin with a header. On any other connection, a header is
+parsed as part of the port's own protocol, where it is invalid, so a client cannot forge its address.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def peer_address_of(sock: socket.socket) -> str:
-    """Returns the peer's IP address; empty if the socket has none or is closed."""
+    """Returns the peer's IP address, or an empty string if the socket has none or is closed."""
     try:
         return str(sock.getpeername()[0])
     except (OSError, IndexError):
@@ -26,7 +26,7 @@
 
 
 def is_proxy_source(peer_address: str, sources: tuple[Network, ...]) -> bool:
-    """Returns whether this peer has to send a header."""
+    """Returns whether this peer must send a PROXY protocol header."""
     if not sources or not peer_address:
         return False
     address = ipaddress.ip_address(peer_address.partition("%")[0])
@@ -37,10 +37,10 @@
 async def read_peer_address(
     stream: PooledStream, data: bytearray, timeout_s: float, balancer_address: str
 ) -> str | None:
-    """Reads the balancer's header and returns the client's address.
+    """Reads the balancer's header and returns the client's IP address.
 
-    Returns the balancer's address where the header names no client, and None as read_header() does. Raises
-    ProxyError.
+    Returns the balancer's address if the header names no client, and None if the connection ended or the
+    header was not complete within timeout_s. Raises ProxyError if the header is invalid.
     """
     header = await read_header(stream, data, timeout_s)
     if header is None:
@@ -49,9 +49,10 @@
 
 
 async def read_header(stream: PooledStream, data: bytearray, timeout_s: float) -> ProxyHeader | None:
-    """Reads one header into data and removes it.
+    """Reads input into data until it begins with a complete header, and removes the header.
 
-    Returns None if the connection ended or the header was not complete within timeout_s. Raises ProxyError.
+    Returns None if the connection ended or the header was not complete within timeout_s. Raises ProxyError
+    if the header is invalid.
     """
     timer = IOLoop.current().call_later(timeout_s, stream.close)
     try:
