--- a/spanwing/frontends/faktory.py
+++ b/spanwing/frontends/faktory.py
@@ -29,9 +29,9 @@
 from spanwing.net.address import Address, listen
 from spanwing.net.buffers import BufferPool
 from spanwing.net.connection_table import (
+    EVICTION_GRACE_S,
     LINGER_TIMEOUT_S,
     MESSAGE_TIMEOUT_S,
-    PARTIAL_MESSAGE_S,
     RANK_FINISHED,
     RANK_IDLE,
     RANK_PARTIAL,
@@ -362,7 +362,7 @@
         if self.is_busy or self.worker is not None:  # a worker counts as gone when its last connection ends
             return None
         if self.line_stream.data:
-            return RANK_PARTIAL if inactive_s > PARTIAL_MESSAGE_S else None
+            return RANK_PARTIAL if inactive_s > EVICTION_GRACE_S else None
         return RANK_SILENT if self.hello is None else RANK_IDLE
 
     def has_no_pending_input(self) -> bool:
--- a/spanwing/frontends/http_server.py
+++ b/spanwing/frontends/http_server.py
@@ -28,9 +28,9 @@
 from spanwing.net.address import Address, listen
 from spanwing.net.buffers import BufferPool
 from spanwing.net.connection_table import (
+    EVICTION_GRACE_S,
     LINGER_TIMEOUT_S,
     MESSAGE_TIMEOUT_S,
-    PARTIAL_MESSAGE_S,
     RANK_FINISHED,
     RANK_IDLE,
     RANK_PARTIAL,
@@ -233,7 +233,7 @@
             return RANK_PARTIAL if inactive_s > self.server.partial_message_grace_s else None
         if not self.has_sent_request:
             return RANK_SILENT
-        return RANK_STALE if inactive_s > PARTIAL_MESSAGE_S else RANK_IDLE
+        return RANK_STALE if inactive_s > EVICTION_GRACE_S else RANK_IDLE
 
     def has_no_pending_input(self) -> bool:
         """Returns whether nothing unread has come."""
@@ -260,7 +260,7 @@
         proxy_sources: tuple[Network, ...] = (),
         shared_socket: socket.socket | None = None,
         is_single_request: bool = False,
-        partial_message_grace_s: float = PARTIAL_MESSAGE_S,
+        partial_message_grace_s: float = EVICTION_GRACE_S,
     ) -> None:
         self.proxy_sources = proxy_sources
         self.is_single_request = is_single_request  # each connection carries one request
--- a/spanwing/net/buffers.py
+++ b/spanwing/net/buffers.py
@@ -1,24 +1,24 @@
-"""Reusable read buffers of one size (BUFFER_BYTES)."""
+"""A pool of reusable read buffers of BUFFER_BYTES each."""
 
 from __future__ import annotations
 
 BUFFER_BYTES = 8192
-MAX_SPARE_BUFFERS = 256  # pooled spare buffers at most
-SINK_BYTES = 65536
+MAX_SPARE_BUFFERS = 256  # kept in the pool; more are left to the garbage collector
+SINK_BYTES = 65536  # size of the shared buffer for discarded input
 
 
 class BufferPool:
-    """Hands out buffers, which the borrower must release; at most MAX_SPARE_BUFFERS are pooled."""
+    """Hands out buffers, which the caller must release; keeps at most MAX_SPARE_BUFFERS spare ones."""
 
     def __init__(self) -> None:
         self.spare_buffers: list[bytearray] = []
-        self.sink = bytearray(SINK_BYTES)  # shared; for bytes that are discarded
+        self.sink = bytearray(SINK_BYTES)  # shared by all readers that discard their input
 
     def acquire(self) -> bytearray:
         """Returns a spare buffer or a new one."""
         return self.spare_buffers.pop() if self.spare_buffers else bytearray(BUFFER_BYTES)
 
     def release(self, buffer: bytearray) -> None:
-        """Takes a buffer back; drops it if enough are spare."""
+        """Returns a buffer to the pool, or drops it if the pool is full."""
         if len(self.spare_buffers) < MAX_SPARE_BUFFERS:
             self.spare_buffers.append(buffer)
--- a/spanwing/net/connection_table.py
+++ b/spanwing/net/connection_table.py
@@ -1,4 +1,4 @@
-"""The connections of a frontend: how many at most, and which one is closed when there is no room."""
+"""A frontend's table of open connections, which is bounded and evicts the least needed one when full."""
 
 from __future__ import annotations
 
@@ -6,28 +6,25 @@
 
 from tornado.ioloop import IOLoop
 
-MESSAGE_TIMEOUT_S = (
-    2.4  # from its first byte (on a new connection: from accept) until a message must be complete
-)
+#: A message must be complete this long after its first byte; on a new connection, after the accept.
+MESSAGE_TIMEOUT_S = 2.4
 LINGER_TIMEOUT_S = 2.4  # after the last response, unread input is discarded for this long
-PARTIAL_MESSAGE_S = 0.5  # if the table is full, an incomplete message may be cut off after this
-WRITE_STALL_TIMEOUT_S = 2.4  # a response of which the peer reads nothing for this long is abandoned
-READ_AHEAD_BYTES = 32 * 1024  # bytes read ahead on one connection while its message is answered
+EVICTION_GRACE_S = 0.5  # a full table may close a connection within a message after this inactivity
+WRITE_STALL_TIMEOUT_S = 2.4  # a connection is closed if its peer reads nothing of a response for this long
+READ_AHEAD_BYTES = 32 * 1024  # limit on input read from a connection while its message is being answered
 
-#: Ranks by which connections are evicted, first to last.
-RANK_FINISHED, RANK_SILENT, RANK_STALE, RANK_PARTIAL, RANK_IDLE = range(
-    5
-)  # STALE: idle for PARTIAL_MESSAGE_S, and easily reopened
+#: Ranks of eviction, first to last. STALE: idle for more than EVICTION_GRACE_S, and cheap to reopen.
+RANK_FINISHED, RANK_SILENT, RANK_STALE, RANK_PARTIAL, RANK_IDLE = range(5)
 
 
 class TableConnection(Protocol):
-    """A connection as the table sees it."""
+    """What the table requires of a connection."""
 
-    is_finished: bool  # the last response is written, the peer has not closed yet
-    last_activity_s: float  # start of its present state (loop time, s)
+    is_finished: bool  # the last response is written; only the peer's close is awaited
+    last_activity_s: float  # loop time of the last input or change of state
 
     def eviction_rank(self, inactive_s: float) -> int | None:
-        """Returns one of the ranks above; None: it must not be evicted."""
+        """Returns one of the ranks above, or None if the connection must not be evicted."""
 
     def has_no_pending_input(self) -> bool:
         """Returns whether the kernel holds no unread input."""
@@ -37,90 +34,89 @@
 
 
 ConnectionT = TypeVar("ConnectionT", bound=TableConnection)
-RANKING_AGE_S = 0.05  # the order of eviction is found anew after this
+MAX_RANKING_AGE_S = 0.05  # an order of eviction is reused for this long
 
 
 class EvictionCandidate(NamedTuple):
-    """A connection that may be closed, ordered by how little it is needed."""
+    """A connection that may be evicted; sorts by rank, then by the time of its last activity."""
 
     rank: int
     last_activity_s: float
-    number: int  # its place in the scan; unique, so that connections are never compared
+    number: int  # its position in the scan; unique, so that connections themselves are never compared
     connection: Any
 
 
 class ConnectionTable(Generic[ConnectionT]):
-    """Bounds the open connections; a full table evicts the least needed one.
+    """The open connections of a frontend; a full table evicts the least needed one.
 
-    Without the bound the process could run out of descriptors and then not even fetch the endpoint list.
+    Without the bound, the process could run out of descriptors and then fail even to fetch the endpoint list.
     """
 
     def __init__(self, max_connections: int) -> None:
         self.max_connections = max_connections
         self.connections: set[ConnectionT] = set()
-        #: The order of eviction as found last, the least needed connection at the end.
+        #: The latest order of eviction; the least needed connection is at the end.
         self.candidates: list[EvictionCandidate] = []
-        self.ranked_s = 0.0
+        self.ranked_at_s = 0.0
 
     def make_room(self) -> bool:
-        """Returns whether one more connection fits, if need be after an eviction."""
+        """Returns whether one more connection fits; evicts a connection if the table is full."""
         return len(self.connections) < self.max_connections or self._evict_next()
 
     def trim(self, target: int) -> None:
-        """Evicts unused connections beyond this many.
+        """Evicts connections until target are left, but only those inactive for EVICTION_GRACE_S.
 
-        Only those unused for PARTIAL_MESSAGE_S are closed. Connections that are idle between requests, or
-        new, are spared: their next request may be under way.
+        Connections that are idle between requests are kept, as their next request may be on its way.
         """
-        now = IOLoop.current().time()
-        for candidate in reversed(self._ranked(now)):
+        now_s = IOLoop.current().time()
+        for candidate in reversed(self._ranked(now_s)):
             if len(self.connections) <= target:
                 return
             is_spared = candidate.rank in (RANK_STALE, RANK_IDLE)
-            if not is_spared and now - candidate.last_activity_s >= PARTIAL_MESSAGE_S:
+            if not is_spared and now_s - candidate.last_activity_s >= EVICTION_GRACE_S:
                 self._evict(candidate.connection)
 
     def _evict_next(self) -> bool:
         """Closes the least needed connection; returns False if none may be closed.
 
-        Under a crowd each new connection evicts one, so the order is found once for many of them. Those that
-        came since then are silent at least, so it counts for candidates that are silent or finished, while
-        their own state is unchanged.
+        During a burst, each new connection evicts another one, so the order is computed once for many
+        evictions. Connections accepted since then rank no lower than RANK_SILENT. The order therefore stays
+        valid for candidates that are finished or silent, as long as their own state has not changed.
         """
-        now = IOLoop.current().time()
-        is_new = (
+        now_s = IOLoop.current().time()
+        is_ranking_new = (
             not self.candidates
             or self.candidates[-1].rank > RANK_SILENT
-            or now - self.ranked_s > RANKING_AGE_S
+            or now_s - self.ranked_at_s > MAX_RANKING_AGE_S
         )
-        if is_new:
-            self.candidates, self.ranked_s = self._ranked(now), now
+        if is_ranking_new:
+            self.candidates, self.ranked_at_s = self._ranked(now_s), now_s
         while self.candidates:
-            if not is_new and self.candidates[-1].rank > RANK_SILENT:
+            if not is_ranking_new and self.candidates[-1].rank > RANK_SILENT:
                 break
             candidate = self.candidates.pop()
-            if self._is_unchanged(candidate, now) and self._evict(candidate.connection):
+            if self._is_unchanged(candidate, now_s) and self._evict(candidate.connection):
                 return True
-        return False if is_new else self._evict_next()
+        return False if is_ranking_new else self._evict_next()
 
-    def _ranked(self, now: float) -> list[EvictionCandidate]:
+    def _ranked(self, now_s: float) -> list[EvictionCandidate]:
         candidates = [
             EvictionCandidate(rank, each.last_activity_s, number, each)
             for number, each in enumerate(self.connections)
-            if (rank := each.eviction_rank(now - each.last_activity_s)) is not None
+            if (rank := each.eviction_rank(now_s - each.last_activity_s)) is not None
         ]
         return sorted(candidates, reverse=True)
 
-    def _is_unchanged(self, candidate: EvictionCandidate, now: float) -> bool:
+    def _is_unchanged(self, candidate: EvictionCandidate, now_s: float) -> bool:
         each = candidate.connection
         return (
             each in self.connections
             and each.last_activity_s == candidate.last_activity_s
-            and each.eviction_rank(now - each.last_activity_s) == candidate.rank
+            and each.eviction_rank(now_s - each.last_activity_s) == candidate.rank
         )
 
     def _evict(self, connection: ConnectionT) -> bool:
-        """Closes a connection, unless the kernel holds unread input of it: it may be a valid request."""
+        """Closes a connection unless it has unread input, which may be a valid request."""
         if not connection.is_finished and not connection.has_no_pending_input():
             return False
         connection.close()
--- a/spanwing/net/http.py
+++ b/spanwing/net/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages (RFC 9112): an incremental parser, and a connection that reads through pooled buffers."""
+"""HTTP/1.1 messages (RFC 9112): an incremental parser, a stream of messages, and encoders."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from spanwing.net.stream import PooledStream
 
 MAX_HEAD_BYTES = 16 * 1024
-MAX_BODY_BYTES = 64 * 1024  # of a request or response that is one job's; the protocol page
+MAX_BODY_BYTES = 64 * 1024  # the platform protocol's limit for a job's request or response
 TOO_LARGE_STATUS = 413
 TOKEN_PATTERN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
 TARGET_PATTERN = re.compile(r"[!-~]+")
@@ -37,7 +37,7 @@
 
 
 class HttpError(Exception):
-    """Input that is no acceptable HTTP message; status is that of the response to it."""
+    """The input is not an acceptable HTTP message; status is the status of the error response."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -51,31 +51,31 @@
     method: str
     target: str
     status: int
-    headers: dict[str, str]  # lower-case names
+    headers: dict[str, str]  # keys in lower case
     keep_alive: bool
     body: bytes = b""
 
 
 class HttpParser:
-    """Incremental parser: bytes are appended to data, next_message() returns complete messages."""
+    """An incremental parser: input is appended to data, and next_message() returns complete messages."""
 
     def __init__(self, parses_responses: bool = False, max_body_bytes: int = MAX_BODY_BYTES) -> None:
         self.parses_responses, self.max_body_bytes = parses_responses, max_body_bytes
         self.data = bytearray()
         self.head: HttpMessage | None = None
-        self.remaining_body: int | None = 0  # body bytes left; None: until the connection ends
+        self.remaining_body: int | None = 0  # body bytes to read; None: until the connection ends
         self.is_chunked = False
-        self.remaining_chunk = -1  # bytes left of a chunk and its line end; -1: a size line comes next
+        self.chunk_bytes = -1  # size of the current chunk; -1: a size line comes next
         self.body = bytearray()
 
     def is_idle(self) -> bool:
-        """Returns whether the parser is between messages with nothing read ahead."""
+        """Returns whether the parser is between messages and holds no input."""
         return self.head is None and not self.data
 
     def next_message(self, has_ended: bool = False) -> HttpMessage | None:
-        """Returns the next complete message, or None; has_ended: no more bytes will come.
+        """Returns the next complete message, or None if more input is needed.
 
-        Raises HttpError.
+        With has_ended, no more input follows, which completes a body without a length. Raises HttpError.
         """
         if self.head is None and not self._read_head():
             return None
@@ -132,9 +132,9 @@
 
     def _set_framing(self, headers: dict[str, str]) -> None:
         transfer_coding, length = headers.get("transfer-encoding"), headers.get("content-length")
-        self.is_chunked, self.remaining_body, self.remaining_chunk = transfer_coding is not None, 0, -1
+        self.is_chunked, self.remaining_body, self.chunk_bytes = transfer_coding is not None, 0, -1
         if transfer_coding is not None:
-            # Two lengths would allow request smuggling; only one form is accepted.
+            # A message with both forms of length would allow request smuggling.
             if length is not None or transfer_coding.lower() != "chunked":
                 raise HttpError(400 if length is not None else 501, "transfer coding")
         elif length is not None:
@@ -158,7 +158,7 @@
 
     def _read_chunks(self) -> bool:
         while True:
-            if self.remaining_chunk < 0:
+            if self.chunk_bytes < 0:
                 end = self.data.find(b"\r\n")
                 if end < 0:
                     if len(self.data) > 1024:
@@ -170,16 +170,16 @@
                 if size.strip("0") == "":
                     return self._read_trailer(end)
                 del self.data[: end + 2]
-                self.remaining_chunk = int(size, 16)
-            if len(self.body) + self.remaining_chunk > self.max_body_bytes:
+                self.chunk_bytes = int(size, 16)
+            if len(self.body) + self.chunk_bytes > self.max_body_bytes:
                 raise HttpError(TOO_LARGE_STATUS, "body too large")
-            if len(self.data) < self.remaining_chunk + 2:
+            if len(self.data) < self.chunk_bytes + 2:
                 return False
-            self._append_body(self.remaining_chunk)
+            self._append_body(self.chunk_bytes)
             if self.data[:2] != b"\r\n":
                 raise HttpError(400, "malformed chunk")
             del self.data[:2]
-            self.remaining_chunk = -1
+            self.chunk_bytes = -1
 
     def _read_trailer(self, offset: int) -> bool:
         if self.data[offset + 2 : offset + 4] == b"\r\n":
@@ -200,7 +200,7 @@
 
 
 class HttpStream(PooledStream):
-    """A connection that carries HTTP messages."""
+    """A byte stream that carries HTTP messages."""
 
     def __init__(
         self,
@@ -213,10 +213,11 @@
         self.parser = HttpParser(parses_responses, max_body_bytes)
 
     async def receive(self, timeout_s: float | None = None, is_fresh: bool = False) -> HttpMessage | None:
-        """Returns the next message; None if the connection ended first.
+        """Returns the next message, or None if the connection ended first.
 
-        A message must be complete timeout_s after its first byte; on a fresh connection the time starts at
-        once. Raises HttpError.
+        If a message is not complete timeout_s after its first byte, it is answered with 408 and the
+        connection closed. With is_fresh, the timeout starts immediately, and a connection without input is
+        closed without a response. Raises HttpError.
         """
         try:
             while True:
@@ -235,8 +236,8 @@
             self.cancel_message_timer()
 
     def collect_read_ahead(self) -> None:
-        """Moves what was read ahead into the parser, while no message is awaited."""
-        if self.pending_read is not None:  # a read ahead is under way; use what it has
+        """Moves available input into the parser; must not be called during receive()."""
+        if self.pending_read is not None:  # started by start_read_ahead()
             if self.pending_read.done():
                 self._collect_read(self.parser.data)
             return
@@ -245,23 +246,23 @@
         if read.done() and read.exception() is None:
             self.parser.data += buffer[: read.result()]
         else:
-            read.add_done_callback(lambda read: read.exception())  # nothing was there; drop the read's error
+            read.add_done_callback(lambda read: read.exception())  # retrieves the error, which is ignored
 
     def _handle_stall(self) -> None:
         """Answers an incomplete message with 408; closes a silent connection without a response."""
         if self.parser.is_idle():
             if self.has_no_pending_input():
                 self.close()
-            else:  # a request or the end is unread: closing now would lose it
+            else:  # an unread request would be lost by closing now
                 self.message_timer = IOLoop.current().call_later(0, self._handle_stall)
         else:
             self.write_and_close(encode_response(408, b"not whole in time", keep_alive=False))
 
     def is_reusable(self) -> bool:
-        """Returns whether a request may be written: open, and between messages.
+        """Returns whether a request may be written: the connection is open and between messages.
 
-        The stream also reads when no read is pending, and what it fetched would pass for the response. The
-        read of the response is therefore begun here and must find nothing.
+        Tornado's stream may have fetched input while no read was pending, and stray input would be taken for
+        the response. The read of the response is therefore started here and must find no input.
         """
         try:
             return self.parser.is_idle() and not self._begin_read().done() and self.has_no_pending_input()
@@ -284,7 +285,7 @@
     head_only: bool = False,
     headers: dict[str, str] | None = None,
 ) -> bytes:
-    """Encodes a response; head_only leaves out the body, as for a HEAD request."""
+    """Encodes a response; head_only omits the body, as for a HEAD request."""
     lines = [f"HTTP/1.1 {status} {REASON_PHRASES.get(status, 'Other')}"]
     if headers:
         lines += [f"{name}: {value}" for name, value in headers.items()]
--- a/spanwing/net/loop_meter.py
+++ b/spanwing/net/loop_meter.py
@@ -1,7 +1,7 @@
-"""Measures how long the event loop is busy: the time between one wait for input and the next.
+"""Measures the busy time of the event loop: the time that it spends outside its waits for input.
 
-Costs two readings of the clock and one comparison per turn of the loop; used only where health is reported to
-balancers.
+The cost is two clock readings and one comparison per iteration, so it is only installed if health is reported
+to load balancers.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class MeteredSelector(selectors.DefaultSelector):
-    """The platform's selector; sums up the time outside its waits, in seconds."""
+    """The platform's default selector, which also sums up the time between its waits."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -22,13 +22,11 @@
         self.alarm_at_busy_s, self.on_alarm = math.inf, lambda: None
 
     def select(self, timeout=None):
-        """Waits for input, and first runs an alarm that is due."""
+        """Runs the alarm if it is due, then waits for input."""
         self.busy_total_s += time.monotonic() - self.woke_at_s
         if self.busy_total_s >= self.alarm_at_busy_s:
-            self.alarm_at_busy_s, timeout = (
-                math.inf,
-                0,
-            )  # callbacks that the alarm schedules must not wait for input
+            # With a timeout of 0, callbacks that the alarm schedules run without waiting for input.
+            self.alarm_at_busy_s, timeout = math.inf, 0
             self.on_alarm()
         try:
             return super().select(timeout)
@@ -36,16 +34,16 @@
             self.woke_at_s = time.monotonic()
 
     def busy_s(self) -> float:
-        """Returns the busy time so far in seconds, the present turn of the loop included."""
+        """Returns the busy time so far in seconds, including the current iteration of the event loop."""
         return self.busy_total_s + time.monotonic() - self.woke_at_s
 
     def set_alarm(self, busy_s: float, on_alarm: Callable[[], None]) -> None:
-        """Calls on_alarm once after this much more busy time (s), between two turns of the loop."""
+        """Calls on_alarm once after busy_s more seconds of busy time, between two iterations of the loop."""
         self.alarm_at_busy_s, self.on_alarm = self.busy_s() + busy_s, on_alarm
 
 
 def install_metered_loop() -> MeteredSelector:
-    """Makes an event loop with a meter the current one; call it before Tornado makes another."""
+    """Makes a new metered event loop the current one; must be called before Tornado creates a loop."""
     selector = MeteredSelector()
     asyncio.set_event_loop(asyncio.SelectorEventLoop(selector))
     return selector
--- a/spanwing/net/monotonic_loop.py
+++ b/spanwing/net/monotonic_loop.py
@@ -1,4 +1,4 @@
-"""The event loop with a clock that no step of the machine's wall clock moves."""
+"""An event loop whose clock is not affected by steps of the wall clock."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class MonotonicLoop(AsyncIOMainLoop):
-    """Its time() is asyncio's monotonic clock; the library's own is time.time().
+    """An event loop whose time() is asyncio's monotonic clock; Tornado's default is time.time().
 
-    Deadlines, windows, waits and graces are spans of real time, so every span that is computed from
-    IOLoop.time() needs it. Once made, it is the current loop of its thread.
+    Every deadline and timeout is computed from IOLoop.time(), so a step of the wall clock would shift all of
+    them. An instance becomes the current loop of its thread.
     """
 
     def time(self) -> float:
--- a/spanwing/net/stream.py
+++ b/spanwing/net/stream.py
@@ -1,4 +1,4 @@
-"""A connection that reads through pooled buffers, and a line reader on top of it."""
+"""A byte stream that reads through pooled buffers, and a line reader on top of it."""
 
 from __future__ import annotations
 
@@ -14,30 +14,28 @@
 
 from spanwing.net.buffers import BufferPool
 
-#: Poll events of a peer that has closed, also while bytes before its end are unread.
+#: Poll events that report a close by the peer even if earlier input is still unread.
 PEER_CLOSED_EVENTS = getattr(select, "POLLRDHUP", 0) | select.POLLERR | select.POLLHUP
-PEER_CHECK_INTERVAL_S = 0.1  # poll interval for the end of a peer that has sent more than is read ahead
-WRITE_CHUNK_BYTES = 16 * 1024  # bytes of a response that the peer has to read within one stall timeout
+PEER_CHECK_INTERVAL_S = 0.1  # poll interval for a close by the peer once the read-ahead limit is reached
+WRITE_CHUNK_BYTES = 16 * 1024  # the peer must read this much within each stall timeout
 
 
 class LineTooLongError(Exception):
-    """A line exceeds the limit."""
+    """A line is longer than max_line_bytes."""
 
 
 class PooledStream:
-    """Reads and writes bytes; occupies a buffer only while a read is pending."""
+    """Reads and writes bytes; holds a pooled buffer only while a read is pending."""
 
     def __init__(self, stream: IOStream, buffers: BufferPool) -> None:
         self.stream, self.buffers = stream, buffers
         self.pending_read: Future[int] | None = None
-        self.message_timer: object = None  # ends the wait for a message
+        self.message_timer: object = None  # timeout of the message that is being read
         self.buffer: bytearray | None = None  # target of the pending read
         self.is_checking_peer = False
-        self.read_ahead_into: tuple[bytearray, int] | None = (
-            None  # no reader: where input goes, and how much at most
-        )
+        self.read_ahead_into: tuple[bytearray, int] | None = None  # while reading ahead: sink, max_bytes
         self.last_read_s = 0.0  # loop time of the last input
-        # Every message is one small write; Nagle's algorithm would only delay it.
+        # Every message is a single small write, which Nagle's algorithm would only delay.
         stream.set_nodelay(True)
 
     async def read(self, sink: bytearray) -> bool:
@@ -50,14 +48,14 @@
         return self._collect_read(sink)
 
     def _begin_read(self) -> Future[int]:
-        """Returns the pending read; starts one if there is none."""
+        """Returns the pending read, or starts one."""
         if self.pending_read is None:
             self.buffer = self.buffers.acquire()
             self.pending_read = self.stream.read_into(self.buffer, partial=True)
         return self.pending_read
 
     def _collect_read(self, sink: bytearray) -> bool:
-        """Appends what the finished read has brought; returns False if the connection has ended."""
+        """Appends the data of the finished read to sink; returns False if the connection has ended."""
         reading, buffer, self.pending_read, self.buffer = self.pending_read, self.buffer, None, None
         if buffer is None:
             return False
@@ -69,16 +67,16 @@
         return has_data
 
     def start_read_ahead(self, sink: bytearray, max_bytes: int) -> None:
-        """Reads up to max_bytes into sink while nobody reads, and so notices the peer's end.
+        """Reads up to max_bytes into sink while no reader is waiting, to notice if the peer closes.
 
-        An end behind unread bytes would not be noticed. Beyond max_bytes the kernel is polled for the end
-        every PEER_CHECK_INTERVAL_S.
+        A close behind unread bytes would go unnoticed otherwise. Once sink holds max_bytes, the kernel is
+        polled for a close every PEER_CHECK_INTERVAL_S.
         """
         self.read_ahead_into = sink, max_bytes
         self._continue_read_ahead()
 
     def stop_read_ahead(self) -> None:
-        """Stops reading ahead, before a read; a pending read continues for the reader."""
+        """Stops reading ahead; a pending read is left to the next reader."""
         self.read_ahead_into = None
 
     def _continue_read_ahead(self) -> None:
@@ -115,7 +113,7 @@
             self._continue_read_ahead()
 
     def has_peer_closed(self) -> bool:
-        """Returns whether the peer has closed, asked of the kernel, whatever is unread before its end."""
+        """Returns whether the peer has closed according to the kernel, even if input is still unread."""
         if self.stream.closed():
             return True
         poll = select.poll()
@@ -123,15 +121,15 @@
         return any(events & PEER_CLOSED_EVENTS for _, events in poll.poll(0))
 
     def is_waiting_for_input(self) -> bool:
-        """Returns whether a read is pending, so that all input read was collected."""
+        """Returns whether a read is pending, which means that all earlier input has been collected."""
         return self.pending_read is not None and not self.pending_read.done()
 
     async def write(self, data: bytes, stall_timeout_s: float | None = None) -> None:
         """Writes all of data.
 
-        With stall_timeout_s the connection is closed, and StreamClosedError raised, if the peer does not read
-        WRITE_CHUNK_BYTES in that time: a peer that never reads would block the connection, and a drain, for
-        ever.
+        With stall_timeout_s, closes the connection and raises StreamClosedError if the peer does not read
+        WRITE_CHUNK_BYTES in that time. A peer that never reads would otherwise block the connection, and a
+        drain, forever.
         """
         if stall_timeout_s is None:
             await self.stream.write(data)
@@ -153,22 +151,22 @@
         self.stream.close()
 
     def cancel_message_timer(self) -> None:
-        """Cancels the message timer: the message is complete, or the connection has ended."""
+        """Cancels the message timer, as the message is complete or the connection has ended."""
         if self.message_timer is not None:
             IOLoop.current().remove_timeout(self.message_timer)
             self.message_timer = None
 
     def write_and_close(self, data: bytes) -> None:
-        """Writes and closes, from a timer while a read is pending (so no input is unread)."""
+        """Writes data and closes; must be called while a read is pending, so that no input is unread."""
         if not self.stream.closed():
             self.stream.write(data).add_done_callback(lambda written: written.exception())
             self.close()
 
     async def close_gracefully(self, timeout_s: float) -> None:
-        """Closes so that the last write arrives, within timeout_s.
+        """Closes the connection after the peer has received the last write, or after timeout_s.
 
-        Closing with unread input makes the kernel send a reset, which may overtake the response. Input is
-        therefore discarded until the peer has closed.
+        If a socket is closed with unread input, the kernel sends a reset, which may overtake the response.
+        Input is therefore discarded until the peer has closed.
         """
         self.read_ahead_into = None
         if self.stream.closed():
@@ -177,11 +175,11 @@
         try:
             self.stream.socket.shutdown(socket.SHUT_WR)
             self.stream.max_buffer_size = len(self.buffers.sink)
-            if self.pending_read is not None:  # a read ahead is pending
+            if self.pending_read is not None:  # started by start_read_ahead()
                 await self.read(bytearray())
             while True:
                 await self.stream.read_into(self.buffers.sink, partial=True)
-                await sleep(0)  # a peer that sends at full speed must not monopolize the loop
+                await sleep(0)  # a peer that sends at full speed must not monopolize the event loop
         except (StreamClosedError, OSError):
             pass
         finally:
@@ -189,10 +187,10 @@
             self.close()
 
     def has_no_pending_input(self) -> bool:
-        """Returns whether the peer has neither closed nor sent anything, asked of the kernel.
+        """Returns whether the peer has neither closed nor sent anything according to the kernel.
 
-        Call it just before use. Input that a finished read has fetched counts as pending until it is
-        collected.
+        The result is only valid until the next iteration of the event loop. Input that a finished read has
+        fetched counts as pending until it is collected.
         """
         if self.stream.closed() or (self.pending_read is not None and self.pending_read.done()):
             return False
@@ -215,10 +213,11 @@
     async def read_line(
         self, timeout_s: float | None = None, is_fresh: bool = False, timeout_reply: bytes = b""
     ) -> bytes | None:
-        """Returns the next line; None if the connection ended first.
+        """Returns the next line without its line end, or None if the connection ended first.
 
-        A line must be complete timeout_s after its first byte, else timeout_reply is written and the
-        connection closed; on a fresh connection the time starts at once. Raises LineTooLongError.
+        If a line is not complete timeout_s after its first byte, timeout_reply is written and the connection
+        closed. With is_fresh, the timeout starts immediately, and a connection without input is closed
+        without a reply. Raises LineTooLongError.
         """
         try:
             while (line := self._next_line()) is None:
@@ -237,11 +236,11 @@
             self.write_and_close(timeout_reply)
         elif self.has_no_pending_input():
             self.close()
-        else:  # input is unread: closing now would lose it
+        else:  # unread input would be lost by closing now
             self.message_timer = IOLoop.current().call_later(0, self._handle_stall, timeout_reply)
 
     def _next_line(self) -> bytes | None:
-        """Returns the next line if it has been read completely, else None."""
+        """Returns the next line, or None if it has not been read completely."""
         end = self.data.find(b"\n")
         if end > self.max_line_bytes or (end < 0 and len(self.data) > self.max_line_bytes):
             raise LineTooLongError
--- a/spanwing/net/tcp_stream.py
+++ b/spanwing/net/tcp_stream.py
@@ -1,4 +1,4 @@
-"""The IOStream of every connection: whatever error ends it, it ends like a connection that was closed."""
+"""An IOStream that treats every socket error as the end of the connection; used for all connections."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class TcpStream(IOStream):
-    """Reads and writes that fail raise StreamClosedError, with the error in the attribute error.
+    """A stream on which a failed read or write raises StreamClosedError; the attribute error has the cause.
 
-    Linux reports a broken connection by more errors than ECONNRESET: ETIMEDOUT, EHOSTUNREACH, ENETUNREACH,
+    Linux reports a broken connection not only as ECONNRESET but also as ETIMEDOUT, EHOSTUNREACH, ENETUNREACH,
     EPIPE and others (tcp(7), ip(7)).
     """
 
