--- a/spanwing/frontends/faktory.py
+++ b/spanwing/frontends/faktory.py
@@ -1,4 +1,8 @@
-"""The Faktory frontend: converts clients' and workers' commands to requests and results, and answers back."""
+"""The Faktory frontend: converts the commands of clients and workers to requests and results.
+
+A client's PUSH becomes a request to the core. A worker's FETCH, ACK, FAIL and BEAT are passed to the actor of
+that worker. Each connection is bounded by a connection table, as on the HTTP listeners.
+"""
 
 from __future__ import annotations
 
@@ -62,7 +66,7 @@
 MAX_LINE_BYTES = 128 * 1024
 MAX_TIMEOUT_MS = 3_600_000.0
 TIMEOUT_REPLY = encode_error("ERR", "not whole in time")
-MAX_TRACKED_JOBS = 10_000  # jobs that TRACK GET knows
+MAX_TRACKED_JOBS = 10_000  # jobs whose state TRACK GET can return
 STATE_OF_ANSWER: dict[AnswerKind, str] = {
     "served": "success",
     "failed": "failed",
@@ -74,7 +78,10 @@
 
 
 class FaktoryHello(msgspec.Struct):
-    """HELLO; a wid marks a worker's connection, labels `name:value` give its zone, kind and cell."""
+    """The arguments of HELLO.
+
+    A wid marks the connection of a worker; its labels, written `name:value`, give its zone, kind and cell.
+    """
 
     v: int = 2
     wid: str = ""
@@ -82,7 +89,7 @@
 
 
 class FaktoryCustom(msgspec.Struct):
-    """What a job's `custom` may contain for the scheduler."""
+    """The fields of a job's `custom` that the scheduler uses."""
 
     tenant: str | None = None
     slots: int = 1
@@ -92,11 +99,11 @@
     effect_key: str | None = None
     again: bool = False
     budget_ms: float | None = None
-    answer: str = "accepted"  # "outcome": the reply to PUSH is the job's final answer
+    answer: str = "accepted"  # with "outcome", the reply to PUSH waits for the job's final answer
 
 
 class FaktoryJob(msgspec.Struct):
-    """A job as PUSH sends it."""
+    """The arguments of PUSH: a job."""
 
     jid: str
     jobtype: str
@@ -107,7 +114,7 @@
 
 
 class FaktoryJobId(msgspec.Struct):
-    """The job that ACK or FAIL names."""
+    """The arguments of ACK and FAIL: the id of a job."""
 
     jid: str
 
@@ -120,7 +127,7 @@
 
 
 class CommandError(Exception):
-    """A command that is answered with an error; the connection continues."""
+    """A command cannot be executed; it is answered with an error, and the connection continues."""
 
     def __init__(self, text: str, error_code: str = "ERR") -> None:
         super().__init__(text)
@@ -128,7 +135,7 @@
 
 
 class FaktoryProtocolError(Exception):
-    """Input that breaks the protocol: answered with an error, then a clean close."""
+    """The input violates the protocol; it is answered with an error, and the connection is closed."""
 
 
 class TrackedJob(msgspec.Struct):
@@ -141,7 +148,7 @@
 
 
 class FaktoryFrontend:
-    """The listener; knows the classes, the states of recent jobs and its connections."""
+    """The listener; owns its connections and the states of recent jobs."""
 
     def __init__(
         self,
@@ -157,7 +164,8 @@
         find_interrupted: Callable[[str], str] = lambda jid: "",
     ) -> None:
         self.proxy_sources = proxy_sources
-        self.find_interrupted = find_interrupted  # the journal's state of a jid that a crash interrupted
+        #: Returns the journal's state of a job that a crash has interrupted, or an empty string.
+        self.find_interrupted = find_interrupted
         self.service_classes = {each.name: each for each in classes}
         self.request_manager, self.worker_directory, self.claims, self.buffers = (
             request_manager,
@@ -188,14 +196,14 @@
         spawn_task(connection.serve())
 
     def set_state(self, jid: str, state: str, description: str = "") -> None:
-        """Records a job's state for TRACK GET; the oldest beyond MAX_TRACKED_JOBS is dropped."""
+        """Stores a job's state for TRACK GET; drops the oldest state beyond MAX_TRACKED_JOBS."""
         self.tracked_jobs[jid] = TrackedJob(jid, state, description, datetime.now(UTC).isoformat())
         self.tracked_jobs.move_to_end(jid)
         if len(self.tracked_jobs) > MAX_TRACKED_JOBS:
             self.tracked_jobs.popitem(last=False)
 
     def has_busy_connections(self) -> bool:
-        """Returns whether a command is being answered."""
+        """Returns whether any connection has a command that is being answered."""
         return any(each.is_busy for each in self.table.connections)
 
     def announce_drain(self) -> None:
@@ -203,7 +211,7 @@
         self.is_draining = True
 
     def drain(self, reject_new: bool = False) -> None:
-        """Starts a drain; Faktory clients are notified but their connections stay open."""
+        """Starts a drain; connections stay open, and every PUSH is rejected whatever reject_new is."""
         self.is_draining = True
 
     def cancel_drain(self) -> None:
@@ -211,23 +219,23 @@
         self.is_draining = False
 
     async def claim_job(self, job: FaktoryJob, service_class: api.ServiceClass) -> Claim | FinalAnswer | None:
-        """Claims a job that must never run twice.
+        """Claims a non-idempotent job in the store, as it must never run twice.
 
-        Returns the claim, None for a class that needs none, or the answer if the job was claimed before.
+        Returns the claim, None if the class needs no claim, or the answer if the job was claimed before.
         Raises CommandError (BUSY) if the store has no majority.
         """
         if service_class.effect != "unsafe":
             return None
         try:
             is_new, claim = await self.claims.claim(job.jid)
-        except NoQuorumError as reason:
-            raise CommandError(f"not taken, the store has no majority: {reason}", "BUSY") from None
+        except NoQuorumError as error:
+            raise CommandError(f"not taken, the store has no majority: {error}", "BUSY") from None
         if is_new:
             return claim
         return FinalAnswer("repeated" if claim.state == "claimed" else claim.state)
 
     def build_request(self, job: FaktoryJob, service_class: api.ServiceClass, body: bytes) -> JobRequest:
-        """Converts a job to a request; raises CommandError if `custom` is out of range."""
+        """Converts a job to a request; raises CommandError if a value in `custom` is out of range."""
         custom = job.custom or FaktoryCustom()
         timeout_ms = service_class.deadline if custom.budget_ms is None else custom.budget_ms
         if custom.slots < 1 or custom.memory < 0 or not timeout_ms >= 0:
@@ -251,7 +259,7 @@
 
 
 class FaktoryClientJob:
-    """The client's side of one job: keeps its state, settles its claim, passes on its one answer."""
+    """Receives the final answer of one job: records its state, settles its claim and answers its client."""
 
     def __init__(
         self, frontend: FaktoryFrontend, claim: Claim | None, on_answer: Callable[[FinalAnswer], None] | None
@@ -260,7 +268,7 @@
 
     def answer(self, request: JobRequest, answer: FinalAnswer) -> None:
         """Receives the final answer from the core."""
-        if answer.kind != "repeated":  # the first request of this id continues and keeps its state
+        if answer.kind != "repeated":  # the first request with this id is still running and keeps its state
             description = (
                 f"try again after {answer.retry_after_ms:.0f} ms" if answer.kind == "refused" else ""
             )
@@ -272,7 +280,7 @@
 
 
 class FaktoryConnection:
-    """One connection, a command at a time."""
+    """One connection of a client or worker; commands are executed one at a time."""
 
     def __init__(
         self,
@@ -281,10 +289,8 @@
         peer_address: str = "",
         awaits_proxy_header: bool = False,
     ) -> None:
-        self.peer_address, self.awaits_proxy_header = (
-            peer_address,
-            awaits_proxy_header,
-        )  # the peer's address, and whether a PROXY header is due
+        #: The peer's address (the balancer's until its header is read); whether a PROXY header is expected.
+        self.peer_address, self.awaits_proxy_header = peer_address, awaits_proxy_header
         self.frontend, self.line_stream = frontend, LineStream(stream, frontend.buffers, MAX_LINE_BYTES)
         self.mailbox: Queue[FinalAnswer | None] = Queue()
         self.is_closed = False
@@ -299,7 +305,7 @@
     def _handle_close(self) -> None:
         self.is_closed = True
         self.mailbox.put_nowait(None)
-        # A job handed to a connection that has ended would count as an attempt.
+        # Otherwise a job could be sent to the closed connection, which would count as an attempt.
         if self.pending_fetch is not None and not self.pending_fetch.done():
             self.pending_fetch.set_result(None)
 
@@ -319,19 +325,19 @@
             ) is not None:
                 self.is_busy = True
                 verb, _, arguments = line.partition(b" ")
-                # Notices the end of a peer that has pipelined commands while this one waits.
+                # Notices if the peer closes while this command waits, even behind pipelined commands.
                 self.line_stream.start_read_ahead(self.line_stream.data, READ_AHEAD_BYTES)
                 try:
                     reply = await self._run_command(verb.decode("ascii", "replace").upper(), arguments)
-                except CommandError as refusal:
-                    reply = encode_error(refusal.error_code, str(refusal))
+                except CommandError as error:
+                    reply = encode_error(error.error_code, str(error))
                 finally:
                     self.line_stream.stop_read_ahead()
                 if reply is not None:
                     await self.line_stream.write(reply, WRITE_STALL_TIMEOUT_S)
                 self.is_busy, self.idle_since_s = False, IOLoop.current().time()
                 if self.line_stream.data:
-                    await sleep(0)  # a peer that pipelines commands must not monopolize the loop
+                    await sleep(0)  # a peer that pipelines commands must not monopolize the event loop
                 if verb.upper() == b"END":
                     break
         except (FaktoryProtocolError, LineTooLongError) as protocol_error:
@@ -349,24 +355,24 @@
 
     @property
     def last_activity_s(self) -> float:
-        """Returns the loop time of the accept, the last reply or the last input.
+        """Returns the loop time of the accept, the last reply or the last input, whichever is latest.
 
-        A message that still grows is therefore not stalled.
+        Input counts, so a message that is still arriving is not treated as stalled.
         """
         return max(self.idle_since_s, self.line_stream.last_read_s)
 
     def eviction_rank(self, inactive_s: float) -> int | None:
-        """Returns the rank for the connection table; None if it must not be evicted."""
+        """Returns the rank for the connection table, or None if the connection must not be evicted."""
         if self.is_finished:
             return RANK_FINISHED
-        if self.is_busy or self.worker is not None:  # a worker counts as gone when its last connection ends
+        if self.is_busy or self.worker is not None:  # the end of its last connection removes a worker
             return None
         if self.line_stream.data:
             return RANK_PARTIAL if inactive_s > EVICTION_GRACE_S else None
         return RANK_SILENT if self.hello is None else RANK_IDLE
 
     def has_no_pending_input(self) -> bool:
-        """Returns whether nothing unread has come."""
+        """Returns whether the connection has no unread input and the peer has not closed."""
         return self.line_stream.has_no_pending_input()
 
     def close(self) -> None:
@@ -388,8 +394,8 @@
     def _decode(self, data: bytes, message_type: type):
         try:
             return msgspec.json.decode(data, type=message_type)
-        except ValueError as reason:
-            raise CommandError(f"malformed: {reason}") from None
+        except ValueError as error:
+            raise CommandError(f"malformed: {error}") from None
 
     async def _handle_hello(self, body: bytes) -> bytes:
         if self.hello is not None:
@@ -398,8 +404,8 @@
             hello = msgspec.json.decode(body, type=FaktoryHello)
             labels = dict(each.split(":", 1) for each in hello.labels if ":" in each)
             int(labels.get("cell", "0")), float(labels.get("started_ms", "0"))
-        except ValueError as reason:
-            raise FaktoryProtocolError(f"malformed HELLO: {reason}") from None
+        except ValueError as error:
+            raise FaktoryProtocolError(f"malformed HELLO: {error}") from None
         if hello.v > 2:
             raise FaktoryProtocolError(f"protocol version {hello.v} is not spoken here")
         self.hello = hello
@@ -413,7 +419,7 @@
         return await self._submit_job(self._decode(body, FaktoryJob), body)
 
     async def _handle_push_bulk(self, body: bytes) -> bytes:
-        """Submits each job by itself; the reply names those that were rejected."""
+        """Submits each job separately; the reply maps the ids of rejected jobs to their errors."""
         errors = {}
         for raw in self._decode(body, list[msgspec.Raw]):
             jid = ""
@@ -425,8 +431,8 @@
                 reply = await self._submit_job(job, bytes(raw))
                 if reply != OK:
                     errors[jid] = reply[1:].decode().strip()
-            except CommandError as refusal:
-                errors[jid] = str(refusal)
+            except CommandError as error:
+                errors[jid] = str(error)
         return encode_bulk(msgspec.json.encode(errors))
 
     async def _submit_job(self, job: FaktoryJob, body: bytes) -> bytes:
@@ -447,11 +453,12 @@
             raise CommandError(interrupted_state, "REPEATED")
         claim = await self.frontend.claim_job(job, service_class)
         if isinstance(claim, FinalAnswer):
-            # Claimed before, here or elsewhere: it never runs again; the known state is the reply.
+            # The job was claimed before, by this or another scheduler. It never runs again, and the reply is
+            # its known state.
             return (
                 OK if not waits_for_outcome and claim.kind in ("repeated", "served") else encode_answer(claim)
             )
-        if self.is_closed and claim is not None:  # nothing was sent: the claim is released
+        if self.is_closed and claim is not None:  # nothing was sent to a worker, so the claim is released
             await self.frontend.claims.settle(job.jid, claim, "refused")
             return OK
         if waits_for_outcome:
@@ -503,7 +510,7 @@
         jid = self._decode(body, FaktoryJobId).jid
         if self.worker is None:
             raise CommandError("only job workers tell of outcomes: HELLO named no wid")
-        # Late, repeated or unknown: acknowledged, without a second answer to the client.
+        # A late, repeated or unknown result is acknowledged too, but the client gets no second answer.
         self.worker.post(JobFinished(jid, result))
         return OK
 
@@ -540,7 +547,7 @@
 
 
 def encode_answer(answer: FinalAnswer) -> bytes:
-    """Encodes a final answer: OK served, BUSY rejected (a retry is harmless), ERR failed."""
+    """Encodes a final answer: OK (served), BUSY (rejected; a retry is safe), REPEATED, or ERR (failed)."""
     if answer.kind == "served":
         return OK
     if answer.kind == "refused":
--- a/spanwing/frontends/http_server.py
+++ b/spanwing/frontends/http_server.py
@@ -1,4 +1,8 @@
-"""Client connections over HTTP: an actor for each connection that clients or workers have opened."""
+"""HTTP listeners and their connections, which are opened by clients, by workers for call-backs, or by tools.
+
+A frontend converts the messages. The server owns the listening socket, bounds the connections, drains them
+and transfers them during a hot restart.
+"""
 
 from __future__ import annotations
 
@@ -46,42 +50,39 @@
 from spanwing.net.tcp_stream import TcpStream
 
 HttpReply = tuple[int, bytes] | tuple[int, bytes, dict[str, str]]  # status, body, headers
-ACCEPT_RETRY_S = 0.005  # single-request frontends: a new connection without room is retried after this
-FRESH_CONNECTION_S = 0.1  # a client has sent its first request this long after connecting
-FULL_TABLE_RETRY_AFTER_MS = 100.0  # Retry-After for a client that finds no room
+ACCEPT_RETRY_S = 0.005  # retry of a connection that finds a full table, on single-request listeners
+FRESH_CONNECTION_S = 0.1  # a client is assumed to send its first request within this after connecting
+FULL_TABLE_RETRY_AFTER_MS = 100.0  # Retry-After for a client that is rejected by a full table
 
 
 class HttpFrontend(Protocol):
-    """Parses messages: a request goes to the core, a reply is the immediate answer."""
+    """Converts between HTTP messages and the core's requests and answers."""
 
     def parse_request(self, message: HttpMessage) -> JobRequest | HttpReply:
-        """Converts a message to a request for the core, or to the immediate reply."""
+        """Converts a message to a request for the core, or returns the immediate reply."""
 
     def render_answer(self, answer: FinalAnswer, keep_alive: bool) -> bytes:
         """Encodes a final answer as a response."""
 
 
 class HttpClientConnection:
-    """One connection: a request at a time, answered before the next is read."""
+    """One connection; each request is answered before the next one is parsed."""
 
     def __init__(
         self, server: HttpServer, stream: IOStream, peer_address: str = "", awaits_proxy_header: bool = False
     ) -> None:
-        self.peer_address, self.awaits_proxy_header = (
-            peer_address,
-            awaits_proxy_header,
-        )  # the client's address, and whether a PROXY header is due
+        #: The client's address (the balancer's until its header is read); whether a PROXY header is expected.
+        self.peer_address, self.awaits_proxy_header = peer_address, awaits_proxy_header
         self.server, self.http = server, HttpStream(stream, server.buffers)
         self.mailbox: Queue[FinalAnswer | None] = Queue()  # None: the peer has closed
-        self.has_sent_request = False  # it has sent a complete request
-        self.is_client = False  # it carried a client's request
+        self.has_sent_request = False  # a complete request was received
+        self.is_client = False  # the connection has carried a client's request
         self.is_busy = False
         self.is_finished = False
-        self.pending_request: tuple[JobRequest, bool] | None = (
-            None  # the request that awaits its answer, and keep_alive
-        )
+        #: The request that is waiting for its answer, and whether the connection is kept alive after it.
+        self.pending_request: tuple[JobRequest, bool] | None = None
         self.idle_since_s = self.accepted_s = IOLoop.current().time()
-        self.backlog_wait_s = 0.0  # how long the connection waited to be accepted, at most
+        self.backlog_wait_s = 0.0  # longest time that the connection may have waited to be accepted
         stream.set_close_callback(lambda: self.mailbox.put_nowait(None))
 
     def answer(self, request: JobRequest, answer: FinalAnswer) -> None:
@@ -97,12 +98,10 @@
                 )
                 if peer is None:
                     return
-                self.peer_address, self.awaits_proxy_header = (
-                    peer,
-                    False,
-                )  # an ordinary connection from here on, also for a successor
+                # From here on this is an ordinary connection, also after its transfer to a successor.
+                self.peer_address, self.awaits_proxy_header = peer, False
             keep_alive = True
-            if self.pending_request is not None:  # taken over from another process
+            if self.pending_request is not None:  # transferred from another process
                 keep_alive = await self._resume_request(*self.pending_request)
             while keep_alive:
                 message = await self.http.receive(MESSAGE_TIMEOUT_S, is_fresh=not self.has_sent_request)
@@ -113,7 +112,7 @@
                 self.is_busy, self.idle_since_s = False, IOLoop.current().time()
                 self.server.close_if_draining(self)
                 if not self.http.parser.is_idle():
-                    await sleep(0)  # a peer that pipelines requests must not monopolize the loop
+                    await sleep(0)  # a peer that pipelines requests must not monopolize the event loop
         except HttpError as error:
             await self._reject_malformed(error)
         except ProxyError as error:
@@ -126,19 +125,19 @@
             self.server.table.connections.discard(self)
 
     async def _handle_request(self, message: HttpMessage) -> bool:
-        """Answers one request; returns whether the connection continues."""
+        """Answers one request; returns whether the connection is kept alive."""
         keep_alive = message.keep_alive and not self.server.is_single_request
         parsed = self.server.frontend.parse_request(message)
         if isinstance(parsed, tuple):
             status, body, *headers = parsed
-            head_only = message.method == "HEAD"  # a body would be taken for the next response
+            head_only = message.method == "HEAD"  # the client would parse a body as the next response
             await self.http.write(
                 encode_response(status, body, keep_alive, head_only, *headers), WRITE_STALL_TIMEOUT_S
             )
             return keep_alive
         self.is_client = True
         parsed = self._without_backlog_wait(parsed)
-        if self.http.has_peer_closed():  # the client left while its request was unread
+        if self.http.has_peer_closed():  # the client left before its request was read
             return False
         if not self.server.is_rejecting and self.server.admit_request():
             self.server.request_manager.post(RequestSubmitted(parsed, self))
@@ -149,16 +148,16 @@
         )
 
     def _without_backlog_wait(self, request: JobRequest) -> JobRequest:
-        """Takes off a request's time what it may have waited before its connection was accepted."""
+        """Reduces the budget of a request by the time that it may have waited in the listen backlog."""
         wait_s, self.backlog_wait_s = self.backlog_wait_s, 0.0
         if not wait_s or IOLoop.current().time() - self.accepted_s > FRESH_CONNECTION_S:
-            return request  # it was sent later
+            return request  # sent after the connection was accepted
         return dataclasses.replace(request, budget=max(0.0, request.budget - wait_s * 1000.0))
 
     async def _await_answer(self, request: JobRequest, keep_alive: bool) -> bool:
-        """Waits for the answer and writes it; returns whether the connection continues."""
+        """Waits for the answer and writes it; returns whether the connection is kept alive."""
         self.pending_request = request, keep_alive
-        self.http.start_read_ahead(self.http.parser.data, READ_AHEAD_BYTES)  # notices a client that closes
+        self.http.start_read_ahead(self.http.parser.data, READ_AHEAD_BYTES)  # notices if the client closes
         answer = await self.mailbox.get()
         self.http.stop_read_ahead()
         self.pending_request = None
@@ -189,10 +188,10 @@
     def detach(self, max_bytes: int) -> tuple[int, bytes] | None:
         """Prepares the connection for transfer to another process.
 
-        Returns a duplicate of its descriptor and what was read of its next request (at most max_bytes), or
-        None if it cannot be transferred now: a message that has begun must be read completely, an answer must
-        be written. A connection that awaits its answer can be transferred, and the answer is no longer owed
-        here.
+        Returns a duplicate of its descriptor and the input already read of its next request (at most
+        max_bytes), or None if it cannot be transferred now: a message that has begun must first be read
+        completely, and an answer that is ready must first be written. A connection that is waiting for its
+        answer can be transferred; this process then no longer answers it.
         """
         parser, awaits_answer = self.http.parser, self.pending_request is not None and self.mailbox.empty()
         if (
@@ -208,23 +207,23 @@
             self.http.collect_read_ahead()
         fd, data = os.dup(self.http.stream.socket.fileno()), bytes(parser.data)
         parser.data.clear()
-        self.http.close()  # closes only this process's descriptor; the peer does not notice
+        self.http.close()  # the duplicate keeps the connection open
         return fd, data
 
     def has_unfinished_request(self) -> bool:
-        """Returns whether a request here is being read or answered."""
+        """Returns whether a request is being read or answered."""
         return self.is_busy or not (self.is_finished or self.http.parser.is_idle())
 
     @property
     def last_activity_s(self) -> float:
-        """Returns the loop time of the accept, the last answer or the last input.
+        """Returns the loop time of the accept, the last answer or the last input, whichever is latest.
 
-        A message that still grows is therefore not stalled.
+        Input counts, so a message that is still arriving is not treated as stalled.
         """
         return max(self.idle_since_s, self.http.last_read_s)
 
     def eviction_rank(self, inactive_s: float) -> int | None:
-        """Returns the rank for the connection table; None while a request is answered."""
+        """Returns the rank for the connection table, or None while a request is being answered."""
         if self.is_finished:
             return RANK_FINISHED
         if self.is_busy:
@@ -236,18 +235,22 @@
         return RANK_STALE if inactive_s > EVICTION_GRACE_S else RANK_IDLE
 
     def has_no_pending_input(self) -> bool:
-        """Returns whether nothing unread has come."""
+        """Returns whether the connection has no unread input and the peer has not closed."""
         return self.http.has_no_pending_input()
 
     def close(self) -> None:
-        """Closes the connection at once; never while a request awaits its answer."""
+        """Closes the connection at once.
+
+        No request should be waiting for its answer; if one is, it is passed to the server's
+        on_unanswered_close.
+        """
         if self.pending_request is not None and not self.http.stream.closed():
             self.server.on_unanswered_close(self.pending_request[0].id)
         self.http.close()
 
 
 class HttpServer:
-    """Listens for one frontend and owns its connections."""
+    """Listens on behalf of one frontend and owns its connections."""
 
     def __init__(
         self,
@@ -264,29 +267,27 @@
     ) -> None:
         self.proxy_sources = proxy_sources
         self.is_single_request = is_single_request  # each connection carries one request
-        self.partial_message_grace_s = (
-            partial_message_grace_s  # if the table is full, an incomplete request may be cut off after this
-        )
+        #: Inactivity after which a full table may close a connection with an incomplete request.
+        self.partial_message_grace_s = partial_message_grace_s
         self.frontend, self.request_manager, self.buffers = frontend, request_manager, buffers
-        self.retry_after_ms = min(
-            FULL_TABLE_RETRY_AFTER_MS, max_retry_after_ms
-        )  # 0: the settings allow no Retry-After
+        #: Retry-After for clients rejected by a full table; 0 if the settings allow no Retry-After.
+        self.retry_after_ms = min(FULL_TABLE_RETRY_AFTER_MS, max_retry_after_ms)
         self.table: ConnectionTable[HttpClientConnection] = ConnectionTable(max_connections)
-        self.pending_requests = 0  # client requests in the core
-        #: Called with the id of a request that is owed an answer as its connection is closed from here.
+        self.pending_requests = 0  # client requests that the core has not answered
+        #: Called with the id of an unanswered request if this process closes its connection.
         self.on_unanswered_close: Callable[[str], None] = lambda _: None
-        self.is_closing = False  # a client's next answer is the last on its connection
-        self.is_draining = False  # also closes connections between requests
-        self.is_rejecting = False  # also rejects new requests
-        self.has_stopped_accepting = False  # no connection is accepted any more
-        self.is_sharing = False  # another process accepts here too, or will: accepts only while there is room
+        self.is_closing = False  # the next answer to a client closes its connection
+        self.is_draining = False  # clients' connections are also closed between requests
+        self.is_rejecting = False  # new requests are also rejected
+        self.has_stopped_accepting = False
+        self.is_sharing = False  # another process accepts on this socket too, or is about to
         self.listening_socket = listen(address, self._accept, shared_socket)
         self.address = self.listening_socket.address
 
     def _accept(self, sock) -> None:
         if not self.table.make_room():
             if self.is_single_request:
-                # The present ones have unread input; by the next turn of the loop one of them can be evicted.
+                # The connections in the table have unread input; one can be evicted after the next iteration.
                 self.set_accepting(False)
                 IOLoop.current().call_later(ACCEPT_RETRY_S, self._accept_waiting, sock)
                 return
@@ -312,14 +313,15 @@
             self.set_sharing(True)
 
     def _accept_waiting(self, sock: socket.socket) -> None:
-        """Accepts the connection that found no room, before any other."""
+        """Retries a connection that found a full table, before any other is accepted."""
         self.set_accepting(True)
         self._accept(sock)
 
     def set_sharing(self, is_sharing: bool) -> None:
-        """Sets whether another process still accepts on this socket.
+        """Sets whether another process accepts on this socket too.
 
-        Meanwhile a connection that finds no room waits in the backlog, as there will be room soon.
+        While it does, this process accepts only if its table has room. Other connections wait in the backlog
+        instead of being rejected, as there will soon be room for them.
         """
         self.is_sharing = is_sharing
         if is_sharing:
@@ -335,9 +337,11 @@
         peer_address: str,
         pending_request: tuple[JobRequest, bool] | None = None,
     ) -> HttpClientConnection:
-        """Continues a connection that another process transferred; both processes' limits hold.
+        """Continues a connection that another process has transferred, and returns it.
 
-        pending_request is the request that awaits its answer, and whether the connection continues after it.
+        The caller has raised the table's limit by one, as the other process has given the connection up.
+        pending_request is the request that is waiting for its answer, and whether the connection is kept
+        alive after it.
         """
         connection = HttpClientConnection(
             self, TcpStream(connected_socket, max_buffer_size=READ_AHEAD_BYTES), peer_address
@@ -359,29 +363,28 @@
         self.listening_socket.set_accepting(is_accepting)
 
     def admit_request(self) -> bool:
-        """Reserves a place for a client's request; returns False if there is none.
+        """Counts a client's request as pending; returns False if too many are.
 
-        A third of the table is left for callbacks.
+        Clients may use two thirds of the table; the rest is reserved for call-backs.
         """
         has_room = self.pending_requests < self.table.max_connections * 2 // 3
         self.pending_requests += has_room
         return has_room
 
     def release_request(self) -> None:
-        """Frees the place of a client's request."""
+        """Ends the count of a client's request as pending."""
         self.pending_requests -= 1
 
     def close_if_draining(self, connection: HttpClientConnection) -> None:
-        """Closes a client's connection between requests if a drain is on."""
-        if (
-            self.is_draining and connection.is_client and connection.has_no_pending_input()
-        ):  # else its input is read and answered
+        """Closes a client's connection between requests during a drain; pending input is answered first."""
+        if self.is_draining and connection.is_client and connection.has_no_pending_input():
             connection.http.close()
 
     def has_unanswered_requests(self) -> bool:
-        """Returns whether a client's request is being read or answered, is unread or may be under way.
+        """Returns whether a request is being read or answered, is unread or may still arrive.
 
-        It may be under way on a connection opened less than FRESH_CONNECTION_S ago, once no other can come.
+        Once the server has stopped accepting, a request may still arrive on a connection that was accepted
+        less than FRESH_CONNECTION_S ago and has carried none.
         """
         fresh_since_s = (
             IOLoop.current().time() - FRESH_CONNECTION_S if self.has_stopped_accepting else math.inf
@@ -404,7 +407,7 @@
         self.listening_socket.accept_pending_and_close()
 
     def announce_drain(self) -> None:
-        """Starts a drain: with its next answer each client is notified to use another connection."""
+        """Starts a drain: each client's next response carries `Connection: close`."""
         self.is_closing = True
 
     def cancel_drain(self) -> None:
@@ -412,13 +415,16 @@
         self.is_closing = self.is_draining = self.is_rejecting = False
 
     def close(self) -> None:
-        """Stops listening and closes all connections; for frontends that answer at once."""
+        """Stops listening and closes all connections; for frontends that answer every request immediately."""
         self.listening_socket.close()
         for each in list(self.table.connections):
             each.close()
 
     def drain(self, reject_new: bool = False) -> None:
-        """Closes clients' connections between requests; callback connections and the listener stay."""
+        """Closes clients' connections between requests, and rejects new requests if reject_new is set.
+
+        Call-back connections and the listener stay open.
+        """
         self.is_closing = self.is_draining = True
         self.is_rejecting |= reject_new
         for each in list(self.table.connections):
