--- a/spanwing/frontends/__init__.py
+++ b/spanwing/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""Frontends and listeners: the platform's HTTP, Faktory, balancers, administration."""
+"""Frontends and listeners: the platform's HTTP, Faktory, load balancers, management and administration."""
--- a/spanwing/frontends/admin.py
+++ b/spanwing/frontends/admin.py
@@ -1,9 +1,9 @@
-"""The admin listener: a Unix socket for the command line, one JSON message a line; and GET /journal/...
+"""The admin listener: a Unix socket that takes commands as lines of JSON, and GET /journal/... requests.
 
-Only the daemon's own user reaches it (mode 0600 from the start). At most MAX_CONNECTIONS connections and
-lines of MAX_LINE_BYTES; a line must be complete within MESSAGE_TIMEOUT_S, and a reply read within
-WRITE_TIMEOUT_S. A socket file left by a daemon that has ended is replaced, one that a running daemon serves
-is not.
+The socket has mode 0600 from the start, so only the daemon's own user can connect. It serves at most
+MAX_CONNECTIONS connections, and lines of at most MAX_LINE_BYTES. A line must be complete within
+MESSAGE_TIMEOUT_S, and a reply must be read within WRITE_TIMEOUT_S. A stale socket file is replaced, unless
+another daemon is listening on it.
 """
 
 from __future__ import annotations
@@ -38,71 +38,77 @@
 from spanwing.net.tcp_stream import TcpStream
 
 MAX_CONNECTIONS = 8
-MAX_LINE_BYTES = 64 * 1024  # the longest is a proposed policy
+MAX_LINE_BYTES = 64 * 1024  # has room for a proposed policy, the longest message
 MAX_BUFFERED_BYTES = 256 * 1024
-WATCH_INTERVAL_S = 1.0
-WRITE_TIMEOUT_S = 5.0  # a peer that does not read its reply for this long is closed
+WATCH_INTERVAL_S = 1.0  # between two states written to a "watch" command
+WRITE_TIMEOUT_S = 5.0  # a connection is closed if its peer does not read a reply within this
 
 
 class AdminCommand(msgspec.Struct):
-    """One command of the command line."""
+    """A command from the command line; which fields apply depends on its name."""
 
     name: str = msgspec.field(name="do")
-    within_s: float | None = None
-    percent: float | None = None
-    member: str = ""  # of the store: the command is for that daemon
+    within_s: float | None = None  # time limit of a drain, or duration of an order
+    percent: float | None = None  # weight
+    member: str = ""  # the store member that a drain or undrain is for; empty: this daemon
     zone: str = ""  # a zone or region
-    action: str = msgspec.field(default="", name="order")  # of a zone or of the policy
-    text: str = ""  # text of a policy
-    base_version: int = msgspec.field(default=0, name="base")  # the version it is based on
-    version: int = 0
+    action: str = msgspec.field(default="", name="order")  # of a zone or policy order
+    text: str = ""  # of a proposed policy
+    base_version: int = msgspec.field(default=0, name="base")  # policy version that the proposal is based on
+    version: int = 0  # policy version to show
     reason: str = ""
     author: str = msgspec.field(default="operator", name="by")
-    departed_schedulers: list[str] = msgspec.field(
-        default=[], name="gone"
-    )  # schedulers that are gone permanently
+    #: Schedulers that are gone permanently.
+    departed_schedulers: list[str] = msgspec.field(default=[], name="gone")
 
 
 class PolicyOrders(Protocol):
-    """The fleet's policy, as this daemon follows it."""
+    """What the admin listener requires of the fleet's policy."""
 
     async def order(
-        self, do: str, by: str, text: str, base: int, reason: str, wait_s: float, gone: list[str]
+        self,
+        action: str,
+        author: str,
+        text: str,
+        base_version: int,
+        reason: str,
+        wait_s: float,
+        departed_schedulers: list[str],
     ) -> str:
-        """Carries out an order and returns its outcome; raises ValueError with the reason."""
+        """Executes an order and returns its outcome; raises ValueError if the order is rejected."""
 
     def status(self) -> dict[str, Any]:
-        """Returns the state of the policy here, for the command line."""
+        """Returns this scheduler's view of the policy, for the command line."""
 
     def history(self) -> list[dict[str, Any]]:
-        """Returns how the last changes ended, the newest last."""
+        """Returns the outcomes of the last changes, newest last."""
 
-    def text(self, number: int) -> str:
-        """Returns the text of a version (0: the one in force); raises ValueError."""
+    def text(self, version: int) -> str:
+        """Returns the text of a version, or of the one in force for 0; raises ValueError."""
 
     def check(self, text: str) -> str:
-        """Returns why this scheduler could not adopt the text now; empty if it could."""
+        """Returns why this scheduler could not adopt the text now, or an empty string if it could."""
 
 
 class ZoneOrders(Protocol):
-    """The fleet's zones, as this daemon follows them."""
+    """What the admin listener requires of the fleet's zones."""
 
-    async def order(self, do: str, name: str, over_s: float) -> str:
-        """Carries out an order and returns its outcome; raises ValueError with the reason."""
+    async def order(self, action: str, zone: str, within_s: float) -> str:
+        """Executes an order and returns its outcome; raises ValueError if the order is rejected."""
 
     def status(self) -> dict[str, Any]:
         """Returns the state of the zones, for the command line."""
 
     def history(self) -> list[dict[str, Any]]:
-        """Returns the last changes, the newest last."""
+        """Returns the last changes, newest last."""
 
 
 class AdminError(Exception):
-    """A command that is answered with an error."""
+    """A command cannot be executed; its text is the error in the reply."""
 
 
 class AdminConnection:
-    """One connection, a command at a time."""
+    """One connection to the admin socket; commands are executed one at a time."""
 
     def __init__(self, frontend: AdminFrontend, stream: IOStream) -> None:
         self.frontend, self.line_stream = frontend, LineStream(stream, frontend.buffers, MAX_LINE_BYTES)
@@ -110,7 +116,7 @@
         self.last_activity_s = IOLoop.current().time()
 
     async def serve(self) -> None:
-        """Answers commands until the connection ends."""
+        """Answers commands until the connection ends; an HTTP request ends it after its response."""
         try:
             while (
                 line := await self.line_stream.read_line(MESSAGE_TIMEOUT_S, not self.has_sent_command)
@@ -125,8 +131,8 @@
                         await self._stream_status()
                         return
                     await self._write_reply({"ok": True, **await self.frontend.execute(command)})
-                except (ValueError, AdminError) as fault:
-                    await self._write_reply({"ok": False, "error": str(fault)})
+                except (ValueError, AdminError) as error:
+                    await self._write_reply({"ok": False, "error": str(error)})
                 self.is_busy, self.last_activity_s = False, IOLoop.current().time()
         except (StreamClosedError, StreamBufferFullError, LineTooLongError, TornadoTimeoutError):
             pass
@@ -156,7 +162,7 @@
         return None if self.is_busy else RANK_IDLE if self.has_sent_command else RANK_SILENT
 
     def has_no_pending_input(self) -> bool:
-        """Returns whether nothing unread has come."""
+        """Returns whether the connection has no unread input and the peer has not closed."""
         return self.line_stream.has_no_pending_input()
 
     def close(self) -> None:
@@ -165,7 +171,7 @@
 
 
 class AdminFrontend:
-    """Listens on the socket's path and carries out commands."""
+    """Listens on the admin socket and executes commands."""
 
     def __init__(
         self,
@@ -200,7 +206,7 @@
         spawn_task(connection.serve())
 
     def status(self) -> dict[str, Any]:
-        """Returns the daemon's state, for the command line."""
+        """Returns the complete state of the daemon, for the command line."""
         drains = self.reporter.health.drain_orders
         version = {} if self.policy is None else {"policy": self.policy.status()}
         return {
@@ -213,9 +219,9 @@
         }
 
     async def execute(self, command: AdminCommand) -> dict[str, Any]:
-        """Carries out a command and returns its reply; raises AdminError or ValueError with the fault."""
+        """Executes a command and returns its reply; raises AdminError or ValueError with the error text."""
         if command.within_s is not None and not 0 < command.within_s <= 86_400:
-            raise AdminError("within: 0 to 86400 seconds are possible")
+            raise AdminError("within: must be more than 0 and at most 86400 seconds")
         match command.name:
             case "status":
                 return self.status()
@@ -231,7 +237,7 @@
                 log_event("order", do="undrain")
                 if self.reporter.undrain("command"):
                     sources = " and ".join(sorted(self.reporter.health.drain_orders.deadlines))
-                    raise AdminError(f"still draining, asked for by {sources}")
+                    raise AdminError(f"still draining, as ordered by {sources}")
                 return self.status()
             case "weight":
                 if command.percent is None:
--- a/spanwing/frontends/journal_endpoint.py
+++ b/spanwing/frontends/journal_endpoint.py
@@ -1,14 +1,15 @@
-"""GET /journal/... on the admin socket: the output of `spanwing journal`, run in a process of its own.
+"""GET /journal/... on the admin socket: streams the output of `spanwing journal`.
 
-The scheduler's loop reads no journal. At most MAX_READERS readers run, each ended after READER_TIMEOUT_S or
-as soon as its client closes; output is passed on as fast as the client reads it, with at most
-MAX_BUFFERED_BYTES buffered.
+Reading the journal would block the scheduler's event loop, so each request starts a reader process. At most
+MAX_READERS of them run, and each is killed after READER_TIMEOUT_S or as soon as its client closes. Output is
+passed on as fast as the client reads it, with at most MAX_BUFFERED_BYTES buffered.
 
     GET /journal/list, /journal/show/REQUEST, /journal/query?q=EXPRESSION, /journal/tail?n=COUNT,
     /journal/export?format=csv&q=EXPRESSION, /journal/verify, /journal/stats
 
-The end of the connection ends the response: JSON, one object a line; plain text from verify; CSV on request
-(Parquet needs a file of its own). 400 is a faulty query, 404 unknown to the journal, 503 no reader free.
+The end of the connection delimits the response. The body is JSON with one object per line, plain text from
+verify, or CSV on request. Parquet is not offered, as it must be written to a file. Status 400 reports an
+invalid query, 404 a path or request that is not found, and 503 that all readers are busy.
 """
 
 from __future__ import annotations
@@ -30,8 +31,8 @@
 MAX_READERS = 2
 READER_TIMEOUT_S = 120.0
 MAX_BUFFERED_BYTES = 256 * 1024
-MAX_HEADER_LINES = 50  # header lines of a request
-MAX_ERROR_BYTES = 500  # bytes of an error text
+MAX_HEADER_LINES = 50  # in a request
+MAX_ERROR_BYTES = 500  # of a reader's error text
 REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
@@ -42,7 +43,7 @@
 
 
 def command_arguments(target: str) -> list[str]:
-    """Returns the arguments of the journal command for a path; raises ValueError for an unknown path."""
+    """Returns the arguments of `spanwing journal` for a target; raises ValueError if its path is unknown."""
     parts = urlsplit(target)
     query = {name: values[-1] for name, values in parse_qs(parts.query).items()}
     path = [unquote(each) for each in parts.path.split("/")[2:]]
@@ -63,7 +64,7 @@
 
 
 def response_head(status: int, content_type: str = "text/plain") -> bytes:
-    """Encodes the head of a response that the end of the connection delimits."""
+    """Encodes the head of a response that is delimited by the end of the connection."""
     return (
         f"HTTP/1.1 {status} {REASON_PHRASES[status]}\r\n"
         f"Content-Type: {content_type}\r\nConnection: close\r\n\r\n"
@@ -71,13 +72,13 @@
 
 
 class JournalEndpoint:
-    """Runs the reader processes."""
+    """Answers journal requests by running reader processes."""
 
     def __init__(self, directory: str) -> None:
         self.directory, self.reader_count = directory, 0
 
     async def serve(self, line_stream: LineStream, request: bytes, timeout_s: float) -> None:
-        """Answers one request, whose first line has been read."""
+        """Answers one request; request is its first line, without the line end."""
         for _ in range(MAX_HEADER_LINES):
             line = await line_stream.read_line(timeout_s)
             if not line:
@@ -122,7 +123,7 @@
         )
         reader.stdout.max_buffer_size = reader.stderr.max_buffer_size = MAX_BUFFERED_BYTES
         timer = IOLoop.current().call_later(READER_TIMEOUT_S, reader.proc.kill)
-        # Also notices a peer that closes while nothing is being written; the reader then ends at once.
+        # Kills the reader immediately if the peer closes, even while nothing is being written.
         line_stream.stream.set_close_callback(reader.proc.kill)
         try:
             is_head_written = False
@@ -162,7 +163,7 @@
 
     @staticmethod
     async def _wait_for_exit(reader: Subprocess) -> int:
-        """Returns the exit status of a reader that has closed its output or was killed; -1 after 5 s."""
+        """Returns the exit status of a reader that closed its output or was killed, or -1 after 5 s."""
         with suppress(TornadoTimeoutError):
             return await with_timeout(
                 timedelta(seconds=5), IOLoop.current().run_in_executor(None, reader.proc.wait)
--- a/spanwing/frontends/management.py
+++ b/spanwing/frontends/management.py
@@ -1,9 +1,9 @@
-"""The management listener: health and figures of this process, for on-call staff and tools.
+"""The management listener: health and statistics of this process, for on-call staff and monitoring.
 
-`GET /healthcheck` answers 200 exactly while this process accepts clients, else 503. `GET /stats` returns the
-core's present figures, one `app.NAME=VALUE` a line, or 503 before there are any. One call a connection, which
-is closed after its answer; anything else is a 4xx. It submits no requests. Its connections are bounded by
-their own table, from a reserve of descriptors that clients cannot use.
+`GET /healthcheck` answers 200 while this process accepts clients, and 503 otherwise. `GET /stats` returns the
+core's current statistics with one `app.NAME=VALUE` per line, or 503 before there are any. Any other request
+gets a 4xx response. Each connection carries one request and is closed after the response. The listener has a
+connection table of its own and uses descriptors that are reserved for it, so clients cannot crowd it out.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 
 
 class ManagementFrontend:
-    """Answers the calls; acceptance and figures are read anew for each."""
+    """Answers management requests; each response is computed from the current state."""
 
     def __init__(
-        self, accepts_clients: Callable[[], bool], collect_figures: Callable[[], dict[str, int]]
+        self, accepts_clients: Callable[[], bool], collect_statistics: Callable[[], dict[str, int]]
     ) -> None:
-        self.accepts_clients, self.collect_figures = accepts_clients, collect_figures
+        self.accepts_clients, self.collect_statistics = accepts_clients, collect_statistics
 
     def parse_request(self, message: HttpMessage) -> JobRequest | HttpReply:
-        """Answers a call; never returns a request for the core."""
+        """Returns the immediate reply; never a request for the core."""
         path = message.target.partition("?")[0]
         if path not in PATHS:
             return 404, b"/healthcheck, /stats"
@@ -34,10 +34,10 @@
             return 405, b"GET only", {"Allow": "GET, HEAD"}
         if path == "/healthcheck":
             return (200, b"yes\n") if self.accepts_clients() else (503, b"no\n")
-        figures = self.collect_figures()
-        lines = "".join(f"app.{name}={value}\n" for name, value in figures.items())
-        return (200, lines.encode(), {"Content-Type": "text/plain"}) if figures else (503, b"not yet\n")
+        statistics = self.collect_statistics()
+        lines = "".join(f"app.{name}={value}\n" for name, value in statistics.items())
+        return (200, lines.encode(), {"Content-Type": "text/plain"}) if statistics else (503, b"not yet\n")
 
     def render_answer(self, answer: FinalAnswer, keep_alive: bool) -> bytes:
-        """Encodes the 503 for a connection that finds no room."""
+        """Encodes the 503 response for a connection that is rejected by a full table."""
         return encode_response(503, b"too many callers\n", keep_alive)
--- a/spanwing/frontends/platform.py
+++ b/spanwing/frontends/platform.py
@@ -1,4 +1,4 @@
-"""The platform's frontend: converts its paths and headers to requests and callbacks, and answers back."""
+"""The platform's HTTP frontend: converts messages to requests and call-backs, and answers to responses."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class JobEvent(msgspec.Struct):
-    """One callback of a worker."""
+    """The body of a worker's call-back."""
 
     id: str
     state: str
@@ -34,14 +34,17 @@
 
 
 class InvalidRequestError(ValueError):
-    """The message cannot be converted to a request."""
+    """A message cannot be converted to a request; its text is the body of the 400 response."""
 
 
 def parse_number(text: str | None, name: str, default: float) -> float:
-    """Parses a decimal number below 1e12, or returns the default; raises InvalidRequestError."""
+    """Parses a decimal number below 1e12, or returns the default if text is None.
+
+    Raises InvalidRequestError with name in its text.
+    """
     if text is None:
         return default
-    if not DECIMAL_PATTERN.fullmatch(text):  # float() accepts more: blanks, 1_0, infinity, non-ASCII digits
+    if not DECIMAL_PATTERN.fullmatch(text):  # float() also accepts blanks, 1_0, infinity, non-ASCII digits
         raise InvalidRequestError(f"{name} is no number")
     if (value := float(text)) >= 1e12:
         raise InvalidRequestError(f"{name} is out of range")
@@ -49,7 +52,7 @@
 
 
 class PlatformFrontend:
-    """Parses what clients, workers and the platform's balancer send."""
+    """Handles the messages of clients, workers and the platform's load balancer."""
 
     def __init__(
         self,
@@ -67,11 +70,11 @@
             counters,
             is_up,
         )
-        self.remaining_ms = remaining_ms  # upper bound of the time left to a request that comes now
+        self.remaining_ms = remaining_ms  # upper bound of the budget of a request that arrives now
         self.decoder = msgspec.json.Decoder(JobEvent)
 
     def parse_request(self, message: HttpMessage) -> JobRequest | tuple[int, bytes]:
-        """Converts a message to a request, or answers it at once (status, body)."""
+        """Converts a message to a request for the core, or returns the immediate reply (status, body)."""
         path = message.target.partition("?")[0]
         if path == JOB_EVENTS_PATH:
             return self._handle_job_event(message) if message.method == "POST" else (405, b"POST only")
@@ -140,7 +143,7 @@
         return 204, b""
 
     def render_answer(self, answer: FinalAnswer, keep_alive: bool) -> bytes:
-        """Encodes a final answer: 200, 409 (repeated), 502 (failed) or 503 (rejected)."""
+        """Encodes a final answer: 200 (served), 409 (repeated), 502 (failed) or 503 (rejected)."""
         if answer.kind == "served":
             return encode_response(200, answer.body, keep_alive)
         if answer.kind == "repeated":
