--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -1,4 +1,4 @@
-"""By when the endpoint list must be read again, and that the calls manage it; without sockets."""
+"""The deadline of the endpoint list and the timing of the calls that renew it; without sockets."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 class Timing(unittest.TestCase):
     @given(GRACES_MS, st.booleans())
-    def test_two_calls_fit_after_a_poll_that_fell_silent_at_its_start(
+    def test_two_calls_fit_between_an_unanswered_poll_and_the_deadline(
         self, grace_ms: float, is_pushed: bool
     ) -> None:
         timing = CallTiming.from_settings(grace_ms, is_pushed)
@@ -44,7 +44,7 @@
             self.assertLessEqual(now_s, freshness.deadline_s)
 
     @given(GRACES_MS, st.booleans())
-    def test_sends_stop_before_the_grace_ends_also_in_a_process_that_is_held_up(
+    def test_the_deadline_leaves_time_for_a_process_pause_before_the_grace_ends(
         self, grace_ms: float, is_pushed: bool
     ) -> None:
         timing = CallTiming.from_settings(grace_ms, is_pushed)
@@ -54,13 +54,13 @@
         )
 
     @given(st.floats(200.0, 5000.0))
-    def test_an_answer_that_stalls_is_repeated_within_the_grace(self, grace_ms: float) -> None:
+    def test_a_stalled_answer_times_out_within_the_grace(self, grace_ms: float) -> None:
         timing = CallTiming.from_settings(grace_ms, False)
         self.assertLessEqual(timing.stall_timeout_s, max(0.1, grace_ms / 4000.0))
         self.assertLessEqual(timing.stall_timeout_s, 0.5)
 
     @given(st.floats(100.0, 5000.0), st.integers())
-    def test_pushed_lists_are_asked_for_again_within_half_of_the_grace(
+    def test_pushed_lists_are_requested_again_within_half_of_the_grace(
         self, grace_ms: float, seed: int
     ) -> None:
         timing = CallTiming.from_settings(grace_ms, True)
@@ -75,36 +75,36 @@
         self.freshness.note_answer(100.0)
         self.stale_s = 100.0 + MAX_NOTIFICATION_DELAY_S + 2.0 - MAX_PROCESS_PAUSE_S
 
-    def test_a_list_is_stale_from_the_deadline_on_however_many_calls_were_made(self) -> None:
+    def test_unanswered_calls_do_not_move_the_deadline(self) -> None:
         for _ in range(20):
             self.freshness.note_unanswered()
         self.assertEqual(self.freshness.state(self.stale_s - 0.01), Freshness.OVERDUE)
         self.assertEqual(self.freshness.state(self.stale_s), Freshness.STALE)
 
-    def test_a_whole_answer_counts_from_its_first_byte(self) -> None:
+    def test_a_complete_answer_renews_the_list_from_its_first_byte(self) -> None:
         self.freshness.note_unanswered()
         self.freshness.note_answer(105.0)
         self.assertEqual(self.freshness.state(105.1), Freshness.CURRENT)
         self.assertFalse(self.freshness.is_stale(self.stale_s + 4.99))
         self.assertTrue(self.freshness.is_stale(self.stale_s + 5.0))
 
-    def test_while_discovery_answers_nobody_the_list_stays_in_use(self) -> None:
+    def test_the_list_stays_in_use_while_discovery_is_unavailable(self) -> None:
         for call in range(60):
             self.freshness.note_unreachable(100.0 + call)
             self.assertFalse(self.freshness.is_stale(100.0 + call + 1.0))
         self.assertEqual(self.freshness.state(160.0), Freshness.UNREACHABLE)
 
-    def test_once_it_can_be_reached_the_time_runs_from_the_last_call_that_could_not(self) -> None:
+    def test_after_an_outage_the_deadline_follows_from_the_last_refused_call(self) -> None:
         self.freshness.note_unreachable(150.0)
         self.freshness.note_unanswered()
         self.assertEqual(self.freshness.state(151.0), Freshness.OVERDUE)
         self.assertTrue(self.freshness.is_stale(150.0 + MAX_NOTIFICATION_DELAY_S + 2.0 - MAX_PROCESS_PAUSE_S))
 
-    def test_another_discovery_has_less_time(self) -> None:
+    def test_a_new_discovery_address_shortens_the_deadline(self) -> None:
         self.freshness.note_moved(103.0)
         self.assertTrue(self.freshness.is_stale(103.0 + 4.0 + 2.0 - MAX_PROCESS_PAUSE_S))
 
-    def test_a_list_that_this_process_never_confirmed_breaks_the_rule(self) -> None:
+    def test_a_list_that_was_never_confirmed_violates_the_drain_rule(self) -> None:
         freshness = EndpointFreshness(CallTiming.from_settings(2000.0, False), 100.0)
         self.assertTrue(freshness.violates_drain_rule(100.1))
         freshness.note_moved(100.2)
@@ -112,13 +112,13 @@
         freshness.note_unreachable(100.4)
         self.assertFalse(freshness.violates_drain_rule(100.5))
 
-    def test_a_call_that_a_refusal_follows_does_not_confirm_a_list_that_missed_its_answer(self) -> None:
+    def test_a_refused_call_does_not_confirm_a_list_after_a_missed_answer(self) -> None:
         freshness = EndpointFreshness(CallTiming.from_settings(2000.0, False), 100.0)
         freshness.note_unanswered()
         freshness.note_unreachable(100.4)
         self.assertTrue(freshness.violates_drain_rule(100.5))
 
-    def test_an_answer_that_was_not_taken_counts_as_notified_from_its_first_byte(self) -> None:
+    def test_an_unapplied_answer_counts_as_notified_from_its_first_byte(self) -> None:
         self.freshness.note_answer_begun(103.0)
         self.assertFalse(self.freshness.is_stale(103.0 + 2.0 - MAX_PROCESS_PAUSE_S - 0.01))
         self.assertTrue(self.freshness.is_stale(103.0 + 2.0 - MAX_PROCESS_PAUSE_S))
@@ -128,23 +128,23 @@
         self.freshness.note_answer(104.0)
         self.assertFalse(self.freshness.is_stale(110.0))
 
-    def test_an_answer_that_began_before_the_one_that_was_applied_is_not_made_good_by_it(self) -> None:
+    def test_applying_an_earlier_answer_leaves_a_later_one_unapplied(self) -> None:
         self.freshness.note_answer_begun(103.0)
         self.freshness.note_answer(102.0)
         self.assertTrue(self.freshness.is_stale(103.0 + 2.0 - MAX_PROCESS_PAUSE_S))
 
-    def test_calls_that_are_refused_renew_no_list_that_missed_an_answer_before(self) -> None:
-        for begins in (False, True):
-            with self.subTest(begins=begins):
+    def test_refused_calls_do_not_renew_a_list_after_a_missed_answer(self) -> None:
+        for has_begun in (False, True):
+            with self.subTest(has_begun=has_begun):
                 self.setUp()
-                if begins:
+                if has_begun:
                     self.freshness.note_answer_begun(101.0)
                 self.freshness.note_unanswered()
                 for call in range(1, 40):
                     self.freshness.note_unreachable(100.0 + call)
                 self.assertTrue(self.freshness.is_stale(self.stale_s))
 
-    def test_a_list_that_was_read_after_a_missed_answer_is_renewed_by_refused_calls_again(self) -> None:
+    def test_refused_calls_renew_the_list_again_after_a_complete_answer(self) -> None:
         self.freshness.note_answer_begun(101.0)
         self.freshness.note_unanswered()
         self.freshness.note_answer_begun(102.0)
@@ -152,47 +152,47 @@
         self.freshness.note_unreachable(108.0)
         self.assertFalse(self.freshness.is_stale(112.0))
 
-    def test_a_rejection_is_no_notification(self) -> None:
+    def test_the_first_byte_of_a_rejection_is_not_a_notification(self) -> None:
         self.freshness.note_answer_begun(102.0)
         self.freshness.note_unreachable(101.9)
         self.assertFalse(self.freshness.is_stale(107.0))
 
-    def test_configurations_in_a_row_give_no_more_time_than_the_first(self) -> None:
+    def test_repeated_address_changes_do_not_extend_the_deadline(self) -> None:
         for call in range(20):
             self.freshness.note_moved(100.5 + call)
         self.assertTrue(self.freshness.is_stale(self.stale_s))
 
     @given(st.lists(st.tuples(st.sampled_from(EVENTS), st.floats(0.0, 4.0)), max_size=40), GRACES_MS)
-    def test_the_deadline_never_outlasts_the_rule(
+    def test_a_list_that_is_not_stale_never_violates_the_drain_rule(
         self, events: list[tuple[str, float]], grace_ms: float
     ) -> None:
-        """In whatever order calls end, fail and move: what the guard lets pass breaks no rule by its age."""
+        """Checks every order of call outcomes and address changes against the rule at several later times."""
         now_s, freshness = 100.0, EndpointFreshness(CallTiming.from_settings(grace_ms, False), 100.0)
         freshness.note_answer(now_s)
         for event, pause_s in events:
             now_s += pause_s
-            note = getattr(freshness, event)
-            note(*([] if event == "note_unanswered" else [now_s]))
+            note_event = getattr(freshness, event)
+            note_event(*([] if event == "note_unanswered" else [now_s]))
             for later_s in (0.0, 0.1, 1.0, 4.0, 6.0, 8.0, 20.0):
                 if not freshness.is_stale(now_s + later_s):
                     self.assertFalse(freshness.violates_drain_rule(now_s + later_s))
 
-    def test_patience_is_a_share_of_the_time_that_is_left_and_has_bounds(self) -> None:
+    def test_call_timeouts_are_a_bounded_share_of_the_remaining_time(self) -> None:
         self.assertEqual(self.freshness.call_timeout_s(100.0), 3.3)
         self.assertLess(self.freshness.call_timeout_s(self.stale_s - 1.0), 0.61)
         self.assertEqual(self.freshness.call_timeout_s(self.stale_s - 0.01), MIN_CALL_TIMEOUT_S)
         self.assertEqual(self.freshness.call_timeout_s(self.stale_s + 10.0), 3.3)
 
-    def test_a_failure_that_never_passes_is_repeated_ever_more_seldom(self) -> None:
-        """The fleet asks for a large list again and again otherwise, several times a second each."""
+    def test_calls_back_off_while_failures_persist(self) -> None:
+        """Without backoff, every scheduler of a fleet would request a large list several times a second."""
         rng, now_s, calls = random.Random(1), 100.0, 0
         while now_s < 160.0:
             self.freshness.note_unanswered()
             now_s += self.freshness.pause_s(rng, now_s, now_s)
             calls += 1
-        self.assertLess(calls, 65)  # some 480 at 0.125 s each
+        self.assertLess(calls, 65)  # about 480 without backoff, at a mean pause of 0.125 s
 
-    def test_the_time_that_a_failed_call_waited_counts_into_the_pause(self) -> None:
+    def test_the_duration_of_a_failed_call_counts_towards_the_pause(self) -> None:
         self.freshness.note_unreachable(100.0)
         rng = random.Random(1)
         self.assertGreater(max(self.freshness.pause_s(rng, 100.0, 100.0) for _ in range(200)), 2.0)
