--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail in the ways that Linux documents: no task ends unseen, no loop is kept busy."""
+"""System calls that fail with the errors that Linux documents: tasks continue, and loops do not spin."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 from spanwing.net.http import HttpStream
 from spanwing.net.tcp_stream import TcpStream
 
-LAG_S = 0.5  # other tests take processor time; accepting fails for 0.9 s
-BROKEN = (errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.ENETUNREACH, errno.EPIPE, errno.ENOBUFS)
-NO_RESOURCES = (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM)
+LAG_S = 0.5  # allows for other tests on the machine; accept() fails for 0.9 s
+CONNECTION_ERRORS = (errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.ENETUNREACH, errno.EPIPE, errno.ENOBUFS)
+RESOURCE_ERRORS = (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM)
 TIMING = CallTiming(0.1, 0.1, 0.05, stale_after_s=20.0, retry_spread_s=0.05, max_call_timeout_s=0.2)
 
 
-class Reads(unittest.IsolatedAsyncioTestCase):
+class ReadErrors(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.calls = 0
         self.called = asyncio.Event()
@@ -47,17 +47,17 @@
                 self.calls += 1
                 self.called.set()
 
-    async def test_a_connection_that_ends_with_any_error_ends_like_a_closed_one(self) -> None:
-        for error in BROKEN:
+    async def test_any_connection_error_is_treated_as_a_close(self) -> None:
+        for error in CONNECTION_ERRORS:
             with self.subTest(errno.errorcode[error]):
-                near, far = socket.socketpair()
-                stream = HttpStream(TcpStream(near), BufferPool(), parses_responses=True)
+                local, remote = socket.socketpair()
+                stream = HttpStream(TcpStream(local), BufferPool(), parses_responses=True)
                 with mock.patch.object(IOStream, "read_from_fd", side_effect=OSError(error, "broken")):
                     self.assertIsNone(await asyncio.wait_for(stream.receive(), 5.0))
                     self.assertFalse(stream.is_reusable())
-                far.close()
+                remote.close()
 
-    async def test_the_watch_goes_on_after_a_read_that_failed(self) -> None:
+    async def test_the_watch_continues_after_failed_reads(self) -> None:
         client = DiscoveryClient(
             DiscoveredEndpoints(revision=7),
             parse_address(f"127.0.0.1:{self.port}"),
@@ -74,7 +74,7 @@
             await self.called.wait()
         client.change_discovery(parse_address("127.0.0.1:9"))
 
-    async def test_a_watch_that_ends_by_a_fault_is_started_again(self) -> None:
+    async def test_the_watch_restarts_after_an_unexpected_exception(self) -> None:
         client = DiscoveryClient(
             DiscoveredEndpoints(revision=7),
             parse_address(f"127.0.0.1:{self.port}"),
@@ -84,7 +84,7 @@
             TIMING,
         )
         with (
-            mock.patch.object(call.DiscoveryConnection, "fetch", side_effect=ValueError("a fault")),
+            mock.patch.object(call.DiscoveryConnection, "fetch", side_effect=ValueError("a bug")),
             self.assertLogs("spanwing"),
         ):
             client.watch()
@@ -92,13 +92,13 @@
         async with asyncio.timeout(5):
             await self.called.wait()
         self.assertGreater(client.failed_calls["fault"], 0)
-        self.assertLess(client.failed_calls["fault"], 10)  # it pauses between
+        self.assertLess(client.failed_calls["fault"], 10)  # the watch pauses before each restart
         client.change_discovery(parse_address("127.0.0.1:9"))
 
 
-class Accepts(unittest.IsolatedAsyncioTestCase):
-    async def test_an_accept_without_resources_is_tried_again_after_a_pause_and_loses_nobody(self) -> None:
-        for error in NO_RESOURCES:
+class AcceptErrors(unittest.IsolatedAsyncioTestCase):
+    async def test_accept_is_retried_after_a_pause_without_losing_connections(self) -> None:
+        for error in RESOURCE_ERRORS:
             with self.subTest(errno.errorcode[error]):
                 accepted: asyncio.Queue[socket.socket] = asyncio.Queue()
                 sock = socket.socket()
@@ -108,14 +108,14 @@
                 with self.assertNoLogs("tornado", "ERROR"), self.assertNoLogs("asyncio", "ERROR"):
                     client = socket.create_connection(listening.address)
                     await asyncio.sleep(0.5)
-                self.assertTrue(1 <= failing.failed <= 20, failing.failed)
+                self.assertTrue(1 <= failing.failed_accepts <= 20, failing.failed_accepts)
                 failing.error = None
                 async with asyncio.timeout(5):
                     (await accepted.get()).close()
                 client.close()
                 listening.close()
 
-    async def test_connections_that_were_aborted_or_unreachable_are_passed_over(self) -> None:
+    async def test_aborted_connections_are_skipped(self) -> None:
         accepted: asyncio.Queue[socket.socket] = asyncio.Queue()
         failing = FailingAccepts(socket.socket(), errno.ECONNABORTED)
         with mock.patch("spanwing.net.address.open_socket", return_value=failing):
@@ -129,8 +129,8 @@
         listening.close()
 
 
-class Budgets(unittest.IsolatedAsyncioTestCase):
-    async def test_the_time_passed_on_leaves_out_what_a_connection_waited_to_be_accepted(self) -> None:
+class BacklogWaits(unittest.IsolatedAsyncioTestCase):
+    async def test_budgets_are_reduced_by_the_wait_in_the_backlog(self) -> None:
         command = ("-m", "measure.soak.shimmed", "fail:accept:ENOBUFS:2.0:2.9")
         fleet = Fleet(FleetPlan(rate_per_s=60.0, command=command), seed=1)
         try:
@@ -144,37 +144,37 @@
         self.assertEqual([str(each) for each in violations[:5]], [])
 
 
-class Crowds(unittest.IsolatedAsyncioTestCase):
-    async def test_a_crowd_at_a_full_table_costs_by_its_size_and_not_by_that_of_the_table(self) -> None:
-        table, asked = ConnectionTable(500), Counter()
+class FullTables(unittest.IsolatedAsyncioTestCase):
+    async def test_a_burst_at_a_full_table_does_not_rank_it_for_each_connection(self) -> None:
+        table, counts = ConnectionTable(500), Counter()
 
-        def add() -> None:
+        def add_connection() -> None:
             connection = SimpleNamespace(
                 is_finished=False,
-                last_activity_s=table_clock(),
+                last_activity_s=loop_time_s(),
                 has_no_pending_input=lambda: True,
                 close=lambda: None,
             )
-            connection.eviction_rank = lambda _: asked.update(["ranks"]) or RANK_SILENT
-            table.connections.add(Hashed(connection))
+            connection.eviction_rank = lambda _: counts.update(["ranks"]) or RANK_SILENT
+            table.connections.add(HashableConnection(connection))
 
         for _ in range(500):
-            add()
+            add_connection()
         for _ in range(1000):
             self.assertTrue(table.make_room())
-            add()
+            add_connection()
         self.assertEqual(len(table.connections), 500)
-        self.assertLess(asked["ranks"], 100_000)  # 500 each time: 500,000
+        self.assertLess(counts["ranks"], 100_000)  # 500,000 if every new connection ranked all 500
 
 
-class Hashed:
-    """A connection that can be in a set."""
+class HashableConnection:
+    """A stand-in connection that can be put into a set."""
 
     def __init__(self, connection: SimpleNamespace) -> None:
         self.__dict__.update(vars(connection))
 
 
-def table_clock() -> float:
+def loop_time_s() -> float:
     return IOLoop.current().time()
 
 
@@ -182,11 +182,11 @@
     """A listening socket whose accept() fails for as long as error is set."""
 
     def __init__(self, sock: socket.socket, error: int) -> None:
-        self.sock, self.error, self.failed = sock, error, 0
+        self.sock, self.error, self.failed_accepts = sock, error, 0
 
     def accept(self) -> tuple[socket.socket, object]:
         if self.error is not None:
-            self.failed += 1
+            self.failed_accepts += 1
             raise OSError(self.error, errno.errorcode[self.error])
         return self.sock.accept()
 
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The PROXY protocol: the parser at every cut, and a front on which a listed balancer speaks it."""
+"""The PROXY protocol: the parser on truncated and invalid headers, and listeners behind a balancer."""
 
 from __future__ import annotations
 
@@ -14,43 +14,45 @@
 from spanwing.net.proxied_connections import is_proxy_source
 from spanwing.net.proxy_protocol import MAX_V2_BYTES, SIGNATURE_V2, ProxyError, parse_header
 
-V1 = b"PROXY TCP4 192.0.2.7 192.0.2.1 51000 8080\r\n"
+V1_HEADER = b"PROXY TCP4 192.0.2.7 192.0.2.1 51000 8080\r\n"
 
 
-def v2(command: int = 1, family: int = 0x11, body: bytes = b"", tlvs: bytes = b"") -> bytes:
+def v2_header(command: int = 1, family: int = 0x11, body: bytes = b"", tlvs: bytes = b"") -> bytes:
     if not body and family == 0x11 and command == 1:
         body = bytes((192, 0, 2, 7, 192, 0, 2, 1)) + struct.pack("!HH", 51000, 8080)
-    rest = body + tlvs
-    return SIGNATURE_V2 + struct.pack("!BBH", 0x20 | command, family, len(rest)) + rest
+    payload = body + tlvs
+    return SIGNATURE_V2 + struct.pack("!BBH", 0x20 | command, family, len(payload)) + payload
 
 
-def with_checksum(flip: int = 0) -> bytes:
-    bare = v2(tlvs=struct.pack("!BHI", 3, 4, 0))
-    return bare[:-4] + struct.pack("!I", google_crc32c.value(bare) ^ flip)
+def with_checksum(checksum_error: int = 0) -> bytes:
+    zeroed_header = v2_header(tlvs=struct.pack("!BHI", 3, 4, 0))
+    return zeroed_header[:-4] + struct.pack("!I", google_crc32c.value(zeroed_header) ^ checksum_error)
 
 
 class Parser(unittest.TestCase):
-    def test_whole_headers_at_every_cut(self) -> None:
-        v6 = v2(family=0x21, body=socket.inet_pton(socket.AF_INET6, "2001:db8::7") * 2 + bytes(4))
-        for data, local, source in (
-            (V1, False, ("192.0.2.7", 51000)),
+    def test_complete_headers_and_their_prefixes(self) -> None:
+        ipv6_header = v2_header(
+            family=0x21, body=socket.inet_pton(socket.AF_INET6, "2001:db8::7") * 2 + bytes(4)
+        )
+        for data, is_local, source in (
+            (V1_HEADER, False, ("192.0.2.7", 51000)),
             (b"PROXY TCP6 ::1 ::1 1 2\r\n", False, ("::1", 1)),
             (b"PROXY UNKNOWN\r\n", True, None),
             (b"PROXY UNKNOWN ffff:: ffff:: 1 2\r\n", True, None),
-            (v2(), False, ("192.0.2.7", 51000)),
-            (v6, False, ("2001:db8::7", 0)),
-            (v2(command=0, family=0), True, None),
-            (v2(command=0, family=0x11), True, None),
-            (v2(family=0, body=b""), True, None),
-            (v2(family=0x31, body=bytes(216)), True, None),
+            (v2_header(), False, ("192.0.2.7", 51000)),
+            (ipv6_header, False, ("2001:db8::7", 0)),
+            (v2_header(command=0, family=0), True, None),
+            (v2_header(command=0, family=0x11), True, None),
+            (v2_header(family=0, body=b""), True, None),
+            (v2_header(family=0x31, body=bytes(216)), True, None),
             (with_checksum(), False, ("192.0.2.7", 51000)),
         ):
             for cut in range(len(data)):
                 self.assertIsNone(parse_header(data[:cut]), data[:cut])
             header = parse_header(data + b"GET /")
-            self.assertEqual((header.size, header.is_local, header.source), (len(data), local, source))
+            self.assertEqual((header.size, header.is_local, header.source), (len(data), is_local, source))
 
-    def test_what_is_no_header(self) -> None:
+    def test_invalid_headers(self) -> None:
         for data in (
             b"GET / HTTP/1.1\r\n",
             b"PROXY TCP4 1.2.3.4 5.6.7.8 1\r\n",
@@ -60,28 +62,28 @@
             b"PROXY TCP4 ::1 ::1 1 2\r\n",
             b"PROXY " + b"x" * 120,
             SIGNATURE_V2 + b"\x11\x11\x00\x0c" + bytes(12),
-            v2(command=2),
-            v2(family=0x41),
-            v2(family=0x13, body=bytes(12)),
-            v2(body=bytes(4)),
-            v2(tlvs=b"\x04\x00\x05ab"),
-            v2(tlvs=b"\x04"),
-            v2(tlvs=b"\x03\x00\x03abc"),
-            with_checksum(flip=1),
+            v2_header(command=2),
+            v2_header(family=0x41),
+            v2_header(family=0x13, body=bytes(12)),
+            v2_header(body=bytes(4)),
+            v2_header(tlvs=b"\x04\x00\x05ab"),
+            v2_header(tlvs=b"\x04"),
+            v2_header(tlvs=b"\x03\x00\x03abc"),
+            with_checksum(checksum_error=1),
             SIGNATURE_V2 + struct.pack("!BBH", 0x21, 0x11, MAX_V2_BYTES),
         ):
             with self.assertRaises(ProxyError, msg=data):
                 parse_header(data)
 
     @given(st.binary(max_size=64) | st.binary(max_size=64).map(lambda data: SIGNATURE_V2 + data))
-    def test_any_bytes_end_in_one_of_three_ways(self, data: bytes) -> None:
+    def test_any_input_is_parsed_incomplete_or_rejected(self, data: bytes) -> None:
         try:
             header = parse_header(data)
         except ProxyError:
             return
         self.assertTrue(header is None or header.size <= len(data))
 
-    def test_addresses(self) -> None:
+    def test_proxy_sources(self) -> None:
         import ipaddress
 
         sources = (ipaddress.ip_network("10.0.0.0/8"), ipaddress.ip_network("::1"))
@@ -96,8 +98,8 @@
             self.assertEqual(is_proxy_source(peer, sources), is_listed, peer)
 
 
-class Fronts(unittest.TestCase):
-    def start(self, sources: str) -> Daemon:
+class Listeners(unittest.TestCase):
+    def start_daemon(self, sources: str) -> Daemon:
         worker = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(worker.close)
         fronts = f'[proxy]\nfronts = ["clients", "faktory", "health"]\nsources = ["{sources}"]\n' + "".join(
@@ -107,33 +109,35 @@
         self.addCleanup(daemon.close)
         return daemon
 
-    def say(self, daemon: Daemon, front: str, data: bytes, *more: bytes) -> bytes:
-        with daemon.connect(front) as speaker:
-            speaker.sendall(data)
-            for each in more:
-                speaker.sendall(each)
+    def send(self, daemon: Daemon, front: str, data: bytes, *more_data: bytes) -> bytes:
+        with daemon.connect(front) as client:
+            client.sendall(data)
+            for each in more_data:
+                client.sendall(each)
             try:
-                return speaker.recv(1000)
+                return client.recv(1000)
             except ConnectionResetError:
                 return b""
 
-    def test_a_listed_balancer_speaks_it_on_every_front(self) -> None:
-        daemon = self.start("127.0.0.0/8")
-        up = b"GET /up HTTP/1.1\r\n\r\n"
-        for header in (V1, v2(), v2(command=0, family=0), with_checksum()):
-            self.assertIn(b"200 OK", self.say(daemon, "clients", header, up))
-            self.assertIn(b"200 OK", self.say(daemon, "clients", header + up))
-        self.assertIn(b"200 OK", self.say(daemon, "health", v2() + b"GET /live HTTP/1.1\r\n\r\n"))
-        self.assertIn(b'+HI {"v":2}', self.say(daemon, "faktory", V1))
-        # None, a damaged or a half one: a clean close, and nothing of what follows is read as a request.
-        for wrong in (up, with_checksum(flip=1) + up, V1[:20]):
-            self.assertEqual(self.say(daemon, "clients", wrong), b"")
+    def test_a_listed_balancer_sends_a_header_on_every_listener(self) -> None:
+        daemon = self.start_daemon("127.0.0.0/8")
+        up_request = b"GET /up HTTP/1.1\r\n\r\n"
+        for header in (V1_HEADER, v2_header(), v2_header(command=0, family=0), with_checksum()):
+            self.assertIn(b"200 OK", self.send(daemon, "clients", header, up_request))
+            self.assertIn(b"200 OK", self.send(daemon, "clients", header + up_request))
+        self.assertIn(b"200 OK", self.send(daemon, "health", v2_header() + b"GET /live HTTP/1.1\r\n\r\n"))
+        self.assertIn(b'+HI {"v":2}', self.send(daemon, "faktory", V1_HEADER))
+        # Without a valid header, the connection is closed and no request is read.
+        for invalid in (up_request, with_checksum(checksum_error=1) + up_request, V1_HEADER[:20]):
+            self.assertEqual(self.send(daemon, "clients", invalid), b"")
         self.assertIn("proxy peer=127.0.0.1 reason=wrong checksum", daemon.said())
 
-    def test_nobody_else_can_forge_an_address(self) -> None:
-        daemon = self.start("192.0.2.0/24")
-        self.assertIn(b"400 Bad Request", self.say(daemon, "clients", V1 + b"GET /up HTTP/1.1\r\n\r\n"))
-        self.assertIn(b"200 OK", self.say(daemon, "clients", b"GET /up HTTP/1.1\r\n\r\n"))
+    def test_other_peers_cannot_forge_an_address(self) -> None:
+        daemon = self.start_daemon("192.0.2.0/24")
+        self.assertIn(
+            b"400 Bad Request", self.send(daemon, "clients", V1_HEADER + b"GET /up HTTP/1.1\r\n\r\n")
+        )
+        self.assertIn(b"200 OK", self.send(daemon, "clients", b"GET /up HTTP/1.1\r\n\r\n"))
 
 
 if __name__ == "__main__":
