--- a/tests/test_cut.py
+++ b/tests/test_cut.py
@@ -1,4 +1,4 @@
-"""Each recording again, with all that is sent to the daemon cut into single bytes, and at seeded places."""
+"""Replays each recording with its input split into single bytes, and at seeded random positions."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 from player import Player
 
-AT_ONCE = 4
-#: What they say of messages that stall, or of how much is sent at once, is no longer true of parts.
-OWN_PACE = {
+CONCURRENT_RECORDINGS = 4
+#: Recordings that depend on the timing or size of single writes, so that they cannot be split.
+TIMING_DEPENDENT = {
     "http_stalled",
     "http_huge",
     "http_flood",
@@ -22,11 +22,11 @@
 }
 
 
-def single(count: int) -> list[int]:
+def every_position(count: int) -> list[int]:
     return list(range(1, count))
 
 
-class Seeded:
+class SeededPositions:
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
 
@@ -34,23 +34,23 @@
         return sorted(self.random.sample(range(1, count), min(count - 1, 4))) if count > 1 else []
 
 
-class Cut(unittest.TestCase):
-    def play(self, cut) -> None:
+class SplitInput(unittest.TestCase):
+    def replay_split(self, positions) -> None:
         recordings = [
             each
             for each in sorted((Path(__file__).parent / "exchanges").glob("*.txt"))
-            if each.stem not in OWN_PACE and not each.stem.startswith("bad_")
+            if each.stem not in TIMING_DEPENDENT and not each.stem.startswith("bad_")
         ]
-        with ThreadPoolExecutor(AT_ONCE) as pool:
-            for path, played in [(path, pool.submit(Player(path, cut).play)) for path in recordings]:
+        with ThreadPoolExecutor(CONCURRENT_RECORDINGS) as pool:
+            for path, replay in [(path, pool.submit(Player(path, positions).play)) for path in recordings]:
                 with self.subTest(path.stem):
-                    played.result()
+                    replay.result()
 
     def test_single_bytes(self) -> None:
-        self.play(single)
+        self.replay_split(every_position)
 
-    def test_seeded_places(self) -> None:
-        self.play(Seeded(7))
+    def test_seeded_positions(self) -> None:
+        self.replay_split(SeededPositions(7))
 
 
 if __name__ == "__main__":
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -1,4 +1,4 @@
-"""The machine's wall clock is stepped while schedulers serve: no rule is broken, and service goes on."""
+"""Steps of the wall clock under running schedulers neither violate a rule nor interrupt service."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from measure.soak.oracle import judge
 from spanwing.net.monotonic_loop import MonotonicLoop
 
-LAG_S = 0.8  # other tests take processor time
+LAG_S = 0.8  # allows for other tests on the machine
 STEP_AT_S = 3.0
 
 
-class Steps(unittest.IsolatedAsyncioTestCase):
-    async def play(self, by_s: float, is_silent: bool) -> None:
-        """Steps the clock, and begins a drain after it of which a silent discovery tells nothing."""
-        command = ("-m", "measure.soak.shimmed", f"step:{STEP_AT_S}:{by_s}")
+class ClockSteps(unittest.IsolatedAsyncioTestCase):
+    async def run_step(self, step_s: float, is_silent: bool) -> None:
+        """Steps the clock, then drains a worker; with is_silent, discovery's answers are withheld."""
+        command = ("-m", "measure.soak.shimmed", f"step:{STEP_AT_S}:{step_s}")
         fleet = Fleet(FleetPlan(rate_per_s=40.0, command=command), seed=1)
         try:
             await fleet.start()
@@ -39,19 +39,19 @@
         self.assertGreater(len(served), 10)
         self.assertGreater(sum(served), 0.8 * len(served))
 
-    async def play_all(self, is_silent: bool) -> None:
+    async def run_all_steps(self, is_silent: bool) -> None:
         steps = (0.5, -0.5, 3600.0, -3600.0)
-        await asyncio.gather(*(self.play(by_s, is_silent) for by_s in steps))
+        await asyncio.gather(*(self.run_step(step_s, is_silent) for step_s in steps))
 
-    async def test_service_goes_on_after_steps_by_half_a_second_and_by_an_hour(self) -> None:
-        await self.play_all(is_silent=False)
+    async def test_service_continues_after_steps_of_half_a_second_and_an_hour(self) -> None:
+        await self.run_all_steps(is_silent=False)
 
-    async def test_a_list_that_is_not_confirmed_grows_stale_whatever_the_wall_clock_says(self) -> None:
-        await self.play_all(is_silent=True)
+    async def test_an_unconfirmed_list_goes_stale_despite_clock_steps(self) -> None:
+        await self.run_all_steps(is_silent=True)
 
 
-class Loop(unittest.IsolatedAsyncioTestCase):
-    async def test_its_time_is_not_the_wall_clock(self) -> None:
+class LoopTime(unittest.IsolatedAsyncioTestCase):
+    async def test_the_time_is_independent_of_the_wall_clock(self) -> None:
         loop = MonotonicLoop()
         began_s = loop.time()
         with mock.patch("time.time", return_value=0.0):
