--- a/benchmarks/large_list.py
+++ b/benchmarks/large_list.py
@@ -1,4 +1,4 @@
-"""What a list of a large fleet costs the loop, step by step, in ms.
+"""Measures how long a large fleet's endpoint list occupies the event loop, in ms for each step.
 
 .venv/bin/python -m benchmarks.large_list --workers 3200 --schedulers 200
 """
@@ -28,7 +28,7 @@
 
 
 def timed(name: str, call: Callable[[], object]) -> object:
-    """Calls it and prints how long it took."""
+    """Calls the function, prints how long it took and returns its result."""
     began_s = time.perf_counter()
     result = call()
     click.echo(f"{name:<44} {(time.perf_counter() - began_s) * 1000.0:8.2f} ms")
@@ -36,7 +36,7 @@
 
 
 def endpoint_list(count: int, changed: int, phase: str, revision: int) -> DiscoveredEndpoints:
-    """Returns a list of so many workers, or a change of the first of them."""
+    """Returns a list of count workers, or a partial list of the first `changed` of them if that is not 0."""
     members = [
         DiscoveredWorker(each.id, f"{each.host}:9", "a", "big", 0, phase)
         for each in unlinked_members(count, phase, revision)
@@ -45,21 +45,24 @@
 
 
 async def run(workers: int, schedulers: int, changed: int) -> None:
-    """Takes a list, then a change of it."""
+    """Applies a complete list, then a change of it, and prints the cost of each step."""
     platform = msgspec.json.decode(msgspec.json.encode(settings(balancers=schedulers)), type=PlatformSettings)
     manager = RequestManager(scheduler_settings(platform), 1, Clock())
     buffers, budget = BufferPool(), DescriptorBudget(500)
 
-    def make_worker(name: str, address: Address, retired: Callable[[HttpWorker], None]) -> HttpWorker:
+    def make_worker(name: str, address: Address, on_retired: Callable[[HttpWorker], None]) -> HttpWorker:
         pool = ConnectionPool(address, buffers, budget, 15000.0, 250.0)
-        return HttpWorker(name, pool, LoadReportReader(()), retired)
+        return HttpWorker(name, pool, LoadReportReader(()), on_retired)
 
     client = DiscoveryClient(DiscoveredEndpoints(), Address("127.0.0.1", 9), manager, buffers, make_worker)
-    whole = endpoint_list(workers, 0, "active", 2)
-    encoded = msgspec.json.encode(whole)
+    complete_list = endpoint_list(workers, 0, "active", 2)
+    encoded = msgspec.json.encode(complete_list)
     click.echo(f"{workers} workers, {schedulers} schedulers, {len(encoded)} bytes, a change of {changed}")
     timed("decode the list", lambda: msgspec.json.decode(encoded, type=DiscoveredEndpoints))
-    for name, endpoints in (("list", whole), ("change", endpoint_list(workers, changed, "leaving", 3))):
+    for name, endpoints in (
+        ("list", complete_list),
+        ("change", endpoint_list(workers, changed, "leaving", 3)),
+    ):
         scope = "complete" if endpoints.complete else "partial"
         timed(f"{name}: discovery client", lambda e=endpoints, s=scope: client._apply_endpoints(e, s))
         while client.mailbox or manager.mailbox:
--- a/tests/test_mix.py
+++ b/tests/test_mix.py
@@ -1,4 +1,4 @@
-"""One mix of jobs over both protocols: the same number of each outcome in each class."""
+"""The same mix of jobs over HTTP and Faktory must end in the same number of each outcome per class."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 CLASSES = ("status-read", "schedule-apply", "setpoint-push")
 WORKERS, SLOTS = 6, 4
-#: A job's fate, the slots it asks for and the client's patience in ms; all of a class are out at once.
+#: Per job: what its worker does, the slots it needs and its budget in ms. A class's jobs run concurrently.
 MIX = [("done", 1, 60000), ("done", 1, 60000), ("failing", 1, 3000), ("silent", 1, 3000), ("done", 99, 300)]
-SENT = len(CLASSES) * 4  # the last one fits nowhere
+SENT = len(CLASSES) * 4  # the job with 99 slots fits on no worker
 EXPECTED = {
     ("status-read", "served"): 2,
-    ("status-read", "refused"): 3,  # safe: trying again does no harm
+    ("status-read", "refused"): 3,  # idempotent, so that a client may retry
     ("schedule-apply", "served"): 2,
     ("schedule-apply", "failed"): 2,
     ("schedule-apply", "refused"): 1,
@@ -26,24 +26,24 @@
 
 
 class Mix(unittest.TestCase):
-    def ask_all(self, daemon: Daemon, ask) -> Counter:
-        seen: Counter = Counter()
+    def run_mix(self, daemon: Daemon, run_job) -> Counter:
+        outcomes: Counter = Counter()
         clients = [
-            thread(ask, daemon, f"job-{cls}-{number}", cls, text, slots, budget, seen)
+            thread(run_job, daemon, f"job-{cls}-{number}", cls, behaviour, slots, budget_ms, outcomes)
             for cls in CLASSES
-            for number, (text, slots, budget) in enumerate(MIX)
+            for number, (behaviour, slots, budget_ms) in enumerate(MIX)
         ]
         for each in clients:
             each.join(PATIENCE_S)
-        return seen
+        return outcomes
 
-    def check_figures(self, daemon: Daemon, listed: int) -> None:
-        """What the daemon tells of the mix, once it is quiet, is what its clients saw."""
-        told = figures(daemon)
+    def check_statistics(self, daemon: Daemon, listed: int) -> None:
+        """Checks that the daemon's statistics, once it is idle, agree with what its clients observed."""
+        statistics = figures(daemon)
         names = {"ok": "served", "shed": "refused", "errors": "failed"}
-        counts = {(cls, kind): told[f"{name}.{cls}"] for name, kind in names.items() for cls in CLASSES}
+        counts = {(cls, kind): statistics[f"{name}.{cls}"] for name, kind in names.items() for cls in CLASSES}
         self.assertEqual({each: count for each, count in counts.items() if count}, EXPECTED)
-        self.assertEqual((told["active"], told["pool_size"]), (0, listed))
+        self.assertEqual((statistics["active"], statistics["pool_size"]), (0, listed))
 
     def test_http(self) -> None:
         workers = HttpWorkers(WORKERS, SENT)
@@ -52,19 +52,19 @@
         daemon = Daemon({**config(members), "management": "127.0.0.1:0"}, "")
         self.addCleanup(daemon.close)
         workers.daemon = daemon.ready()
-        self.assertEqual(self.ask_all(daemon, ask_http), EXPECTED)
-        self.check_figures(daemon, WORKERS)
+        self.assertEqual(self.run_mix(daemon, ask_http), EXPECTED)
+        self.check_statistics(daemon, WORKERS)
         self.assertEqual(figures(daemon)["tries"], workers.tried)
 
     def test_faktory(self) -> None:
-        given = {**config(), "management": "127.0.0.1:0"}
-        daemon = Daemon(given, '[faktory]\nlisten = "127.0.0.1:0"\n').ready()
+        settings = {**config(), "management": "127.0.0.1:0"}
+        daemon = Daemon(settings, '[faktory]\nlisten = "127.0.0.1:0"\n').ready()
         self.addCleanup(daemon.close)
         barrier = Barrier(SENT)
         for number in range(WORKERS):
             FaktoryWorker(daemon, f"worker-{number}", SLOTS, list(CLASSES), barrier)
-        self.assertEqual(self.ask_all(daemon, ask_faktory), EXPECTED)
-        self.check_figures(daemon, WORKERS)
+        self.assertEqual(self.run_mix(daemon, ask_faktory), EXPECTED)
+        self.check_statistics(daemon, WORKERS)
         barrier.over = True
 
 
