--- a/spanwing/discovery/call.py
+++ b/spanwing/discovery/call.py
@@ -28,16 +28,16 @@
 
 
 class DiscoveredWorker(msgspec.Struct):
-    """One worker as discovery lists it."""
+    """One worker as discovery lists it; the field names are those of the protocol."""
 
-    id: str
+    id: str  # name of the worker
     host_port: str = ""
-    locality: str | None = None
-    flavor: str | None = None
+    locality: str | None = None  # zone
+    flavor: str | None = None  # worker kind
     cell: int | None = None
-    phase: str = "active"
-    size: float | None = None
-    up_since_ms: float | None = None
+    phase: str = "active"  # active, leaving (draining) or left
+    size: float | None = None  # weight
+    up_since_ms: float | None = None  # start of the worker
 
 
 class DiscoveredEndpoints(msgspec.Struct):
--- a/spanwing/discovery/client.py
+++ b/spanwing/discovery/client.py
@@ -237,7 +237,7 @@
         return CallLimits(call_timeout_s, call_timeout_s, timing.stall_timeout_s)
 
     def _note_failure(self, since: int | None, result: CallResult) -> float:
-        """Records a failed call; returns the pause in seconds before the next call."""
+        """Notes a failed call; returns the pause in seconds before the next call."""
         if result.failure in UNREACHABLE_FAILURES:
             self.freshness.note_unreachable(result.began_s)
         else:
--- a/spanwing/discovery/freshness.py
+++ b/spanwing/discovery/freshness.py
@@ -23,7 +23,7 @@
 POLL_HOLD_S = 3.0  # a poll without changes is answered after this; short, so that silence is noticed soon
 MAX_MOVE_NOTIFICATION_DELAY_S = 4.0  # after a change of discovery's address
 MAX_PROCESS_PAUSE_S = 0.15  # tolerated pause of the process between reading its clock and writing
-MAX_ANSWER_MARGIN_S = 1.5  # a poll's answer must begin this long after the end of its hold
+MAX_ANSWER_MARGIN_S = 1.5  # a poll's answer must begin within this after the end of its hold
 MAX_CALL_TIMEOUT_S = 3.3  # discovery itself rejects a waiting call after 3 s; its answer is worth the wait
 MIN_CALL_TIMEOUT_S = 0.25
 CALL_TIMEOUT_SHARE = 0.6  # of the time to the deadline; the rest is left for further calls
@@ -96,7 +96,7 @@
         self.unapplied_before_call_s: float | None = None
         #: A call has reached discovery without a complete answer, and none has been applied since.
         self.has_missed_answer = False
-        self.is_unreachable = False
+        self.is_unreachable = False  # the last call was refused or did not reach discovery
         self.failed_calls = 0  # in a row
         #: When this process last knew the list to be current or discovery to be unavailable; None: never.
         self.last_confirmed_s: float | None = None
@@ -158,8 +158,9 @@
     def violates_drain_rule(self, now_s: float) -> bool:
         """Returns whether the list is so old that a send based on it could violate the drain rule.
 
-        The rule forbids sends to a worker later than the grace after its drain was notified. This check is
-        independent of the deadline, which is MAX_PROCESS_PAUSE_S earlier, and serves to verify it.
+        The rule forbids sends to a worker once the grace after the notification of its drain is over. The
+        result is computed independently of the deadline, to verify it; the deadline is MAX_PROCESS_PAUSE_S
+        earlier.
         """
         if self.last_confirmed_s is None:
             return True
--- a/spanwing/frontends/faktory.py
+++ b/spanwing/frontends/faktory.py
@@ -89,7 +89,7 @@
 
 
 class FaktoryCustom(msgspec.Struct):
-    """The fields of a job's `custom` that the scheduler uses."""
+    """The fields of a job's `custom` that the scheduler uses; unknown fields are ignored."""
 
     tenant: str | None = None
     slots: int = 1
--- a/spanwing/frontends/http_server.py
+++ b/spanwing/frontends/http_server.py
@@ -73,7 +73,7 @@
     ) -> None:
         #: The client's address (the balancer's until its header is read); whether a PROXY header is expected.
         self.peer_address, self.awaits_proxy_header = peer_address, awaits_proxy_header
-        self.server, self.http = server, HttpStream(stream, server.buffers)
+        self.server, self.http_stream = server, HttpStream(stream, server.buffers)
         self.mailbox: Queue[FinalAnswer | None] = Queue()  # None: the peer has closed
         self.has_sent_request = False  # a complete request was received
         self.is_client = False  # the connection has carried a client's request
@@ -94,7 +94,7 @@
         try:
             if self.awaits_proxy_header:
                 peer = await read_peer_address(
-                    self.http, self.http.parser.data, MESSAGE_TIMEOUT_S, self.peer_address
+                    self.http_stream, self.http_stream.parser.data, MESSAGE_TIMEOUT_S, self.peer_address
                 )
                 if peer is None:
                     return
@@ -104,14 +104,16 @@
             if self.pending_request is not None:  # transferred from another process
                 keep_alive = await self._resume_request(*self.pending_request)
             while keep_alive:
-                message = await self.http.receive(MESSAGE_TIMEOUT_S, is_fresh=not self.has_sent_request)
+                message = await self.http_stream.receive(
+                    MESSAGE_TIMEOUT_S, is_fresh=not self.has_sent_request
+                )
                 if message is None:
                     return
                 self.has_sent_request = self.is_busy = True
                 keep_alive = await self._handle_request(message)
                 self.is_busy, self.idle_since_s = False, IOLoop.current().time()
                 self.server.close_if_draining(self)
-                if not self.http.parser.is_idle():
+                if not self.http_stream.parser.is_idle():
                     await sleep(0)  # a peer that pipelines requests must not monopolize the event loop
         except HttpError as error:
             await self._reject_malformed(error)
@@ -121,7 +123,7 @@
             return
         finally:
             self.is_busy, self.is_finished = False, True
-            await self.http.close_gracefully(LINGER_TIMEOUT_S)
+            await self.http_stream.close_gracefully(LINGER_TIMEOUT_S)
             self.server.table.connections.discard(self)
 
     async def _handle_request(self, message: HttpMessage) -> bool:
@@ -131,13 +133,13 @@
         if isinstance(parsed, tuple):
             status, body, *headers = parsed
             head_only = message.method == "HEAD"  # the client would parse a body as the next response
-            await self.http.write(
+            await self.http_stream.write(
                 encode_response(status, body, keep_alive, head_only, *headers), WRITE_STALL_TIMEOUT_S
             )
             return keep_alive
         self.is_client = True
         parsed = self._without_backlog_wait(parsed)
-        if self.http.has_peer_closed():  # the client left before its request was read
+        if self.http_stream.has_peer_closed():  # the client left before its request was read
             return False
         if not self.server.is_rejecting and self.server.admit_request():
             self.server.request_manager.post(RequestSubmitted(parsed, self))
@@ -157,9 +159,10 @@
     async def _await_answer(self, request: JobRequest, keep_alive: bool) -> bool:
         """Waits for the answer and writes it; returns whether the connection is kept alive."""
         self.pending_request = request, keep_alive
-        self.http.start_read_ahead(self.http.parser.data, READ_AHEAD_BYTES)  # notices if the client closes
+        # Reading ahead notices if the client closes.
+        self.http_stream.start_read_ahead(self.http_stream.parser.data, READ_AHEAD_BYTES)
         answer = await self.mailbox.get()
-        self.http.stop_read_ahead()
+        self.http_stream.stop_read_ahead()
         self.pending_request = None
         self.server.release_request()
         if answer is None:
@@ -169,7 +172,9 @@
 
     async def _write_answer(self, answer: FinalAnswer, keep_alive: bool) -> bool:
         keep_alive = keep_alive and not self.server.is_closing
-        await self.http.write(self.server.frontend.render_answer(answer, keep_alive), WRITE_STALL_TIMEOUT_S)
+        await self.http_stream.write(
+            self.server.frontend.render_answer(answer, keep_alive), WRITE_STALL_TIMEOUT_S
+        )
         return keep_alive
 
     async def _resume_request(self, request: JobRequest, keep_alive: bool) -> bool:
@@ -181,7 +186,7 @@
 
     async def _reject_malformed(self, error: HttpError) -> None:
         with suppress(StreamClosedError):
-            await self.http.write(
+            await self.http_stream.write(
                 encode_response(error.status, str(error).encode(), keep_alive=False), WRITE_STALL_TIMEOUT_S
             )
 
@@ -193,26 +198,29 @@
         completely, and an answer that is ready must first be written. A connection that is waiting for its
         answer can be transferred; this process then no longer answers it.
         """
-        parser, awaits_answer = self.http.parser, self.pending_request is not None and self.mailbox.empty()
+        parser, awaits_answer = (
+            self.http_stream.parser,
+            self.pending_request is not None and self.mailbox.empty(),
+        )
         if (
             self.is_finished
             or self.awaits_proxy_header
             or parser.head is not None
-            or self.http.stream.closed()
+            or self.http_stream.stream.closed()
             or (len(parser.data) > max_bytes - READ_AHEAD_BYTES)
-            or (not awaits_answer and (self.is_busy or not self.http.is_waiting_for_input()))
+            or (not awaits_answer and (self.is_busy or not self.http_stream.is_waiting_for_input()))
         ):
             return None
         if awaits_answer:
-            self.http.collect_read_ahead()
-        fd, data = os.dup(self.http.stream.socket.fileno()), bytes(parser.data)
+            self.http_stream.collect_read_ahead()
+        fd, data = os.dup(self.http_stream.stream.socket.fileno()), bytes(parser.data)
         parser.data.clear()
-        self.http.close()  # the duplicate keeps the connection open
+        self.http_stream.close()  # the duplicate keeps the connection open
         return fd, data
 
     def has_unfinished_request(self) -> bool:
         """Returns whether a request is being read or answered."""
-        return self.is_busy or not (self.is_finished or self.http.parser.is_idle())
+        return self.is_busy or not (self.is_finished or self.http_stream.parser.is_idle())
 
     @property
     def last_activity_s(self) -> float:
@@ -220,7 +228,7 @@
 
         Input counts, so a message that is still arriving is not treated as stalled.
         """
-        return max(self.idle_since_s, self.http.last_read_s)
+        return max(self.idle_since_s, self.http_stream.last_read_s)
 
     def eviction_rank(self, inactive_s: float) -> int | None:
         """Returns the rank for the connection table, or None while a request is being answered."""
@@ -228,7 +236,7 @@
             return RANK_FINISHED
         if self.is_busy:
             return None
-        if not self.http.parser.is_idle():
+        if not self.http_stream.parser.is_idle():
             return RANK_PARTIAL if inactive_s > self.server.partial_message_grace_s else None
         if not self.has_sent_request:
             return RANK_SILENT
@@ -236,7 +244,7 @@
 
     def has_no_pending_input(self) -> bool:
         """Returns whether the connection has no unread input and the peer has not closed."""
-        return self.http.has_no_pending_input()
+        return self.http_stream.has_no_pending_input()
 
     def close(self) -> None:
         """Closes the connection at once.
@@ -244,9 +252,9 @@
         No request should be waiting for its answer; if one is, it is passed to the server's
         on_unanswered_close.
         """
-        if self.pending_request is not None and not self.http.stream.closed():
+        if self.pending_request is not None and not self.http_stream.stream.closed():
             self.server.on_unanswered_close(self.pending_request[0].id)
-        self.http.close()
+        self.http_stream.close()
 
 
 class HttpServer:
@@ -353,7 +361,7 @@
         )
         connection.is_busy = pending_request is not None
         self.pending_requests += connection.is_busy
-        connection.http.parser.data += data
+        connection.http_stream.parser.data += data
         self.table.connections.add(connection)
         spawn_task(connection.serve())
         return connection
@@ -378,7 +386,7 @@
     def close_if_draining(self, connection: HttpClientConnection) -> None:
         """Closes a client's connection between requests during a drain; pending input is answered first."""
         if self.is_draining and connection.is_client and connection.has_no_pending_input():
-            connection.http.close()
+            connection.http_stream.close()
 
     def has_unanswered_requests(self) -> bool:
         """Returns whether a request is being read or answered, is unread or may still arrive.
--- a/spanwing/net/accepting.py
+++ b/spanwing/net/accepting.py
@@ -15,7 +15,7 @@
 
 logger = logging.getLogger("spanwing")
 
-MAX_ACCEPTS_PER_TURN = 16  # per iteration of the event loop, so that input on open connections is read too
+MAX_ACCEPTS_PER_ITERATION = 16  # per iteration of the event loop, so that open connections are served too
 ACCEPT_PAUSE_S = 0.05  # without a pause, a listener that lacks resources would keep the event loop busy
 #: The system is out of descriptors or memory; the connection stays in the backlog.
 NO_RESOURCE_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
@@ -62,7 +62,7 @@
         self.loop.add_handler(self.listening_socket, self._accept, IOLoop.READ)
 
     def _accept(self, *_: object) -> None:
-        for _ in range(MAX_ACCEPTS_PER_TURN):
+        for _ in range(MAX_ACCEPTS_PER_ITERATION):
             if not self.is_started:
                 return
             try:
--- a/spanwing/net/connection_table.py
+++ b/spanwing/net/connection_table.py
@@ -9,11 +9,13 @@
 #: A message must be complete this long after its first byte; on a new connection, after the accept.
 MESSAGE_TIMEOUT_S = 2.4
 LINGER_TIMEOUT_S = 2.4  # after the last response, unread input is discarded for this long
-EVICTION_GRACE_S = 0.5  # a full table may close a connection within a message after this inactivity
+EVICTION_GRACE_S = 0.5  # inactivity after which a connection may be evicted within a message
 WRITE_STALL_TIMEOUT_S = 2.4  # a connection is closed if its peer reads nothing of a response for this long
 READ_AHEAD_BYTES = 32 * 1024  # limit on input read from a connection while its message is being answered
 
-#: Ranks of eviction, first to last. STALE: idle for more than EVICTION_GRACE_S, and cheap to reopen.
+#: Ranks of eviction, first to last. FINISHED: only the peer's close is awaited. SILENT: no message has been
+#: received. STALE: idle for more than EVICTION_GRACE_S, and cheap to reopen. PARTIAL: within a message. IDLE:
+#: between two messages.
 RANK_FINISHED, RANK_SILENT, RANK_STALE, RANK_PARTIAL, RANK_IDLE = range(5)
 
 
@@ -21,7 +23,7 @@
     """What the table requires of a connection."""
 
     is_finished: bool  # the last response is written; only the peer's close is awaited
-    last_activity_s: float  # loop time of the last input or change of state
+    last_activity_s: float  # loop time of the last input or change of rank
 
     def eviction_rank(self, inactive_s: float) -> int | None:
         """Returns one of the ranks above, or None if the connection must not be evicted."""
--- a/spanwing/net/stream.py
+++ b/spanwing/net/stream.py
@@ -31,7 +31,7 @@
         self.stream, self.buffers = stream, buffers
         self.pending_read: Future[int] | None = None
         self.message_timer: object = None  # timeout of the message that is being read
-        self.buffer: bytearray | None = None  # target of the pending read
+        self.buffer: bytearray | None = None  # pooled buffer that the pending read fills
         self.is_checking_peer = False
         self.read_ahead_into: tuple[bytearray, int] | None = None  # while reading ahead: sink, max_bytes
         self.last_read_s = 0.0  # loop time of the last input
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -181,10 +181,10 @@
     async def test_an_invalid_answer_is_requested_again_and_changes_nothing(self) -> None:
         """Truncated, incomplete, too large, not JSON, of a wrong type, rejected or not HTTP; finally, a valid
         indented list is accepted."""
-        part = b'{"revision":8,"complete":true,"members":['
+        truncated_body = b'{"revision":8,"complete":true,"members":['
         for invalid, is_closed in (
-            (b"Content-Length: 900\r\n\r\n" + part, True),
-            (b"Content-Length: 900\r\n\r\n" + part, False),
+            (b"Content-Length: 900\r\n\r\n" + truncated_body, True),
+            (b"Content-Length: 900\r\n\r\n" + truncated_body, False),
             (b"Transfer-Encoding: chunked\r\n\r\n2\r\n{ \r\n", False),
             (b"Content-Length: %d\r\n\r\n" % (MAX_LIST_BYTES + 1), False),
             (b"Content-Length: 4\r\n\r\nlist", False),
@@ -202,8 +202,10 @@
         self.assertTrue(self.announcements.empty())
         self.assertEqual(self.client.failed_calls["too_large"], 1)
         body = b'\n{\n  "revision": 8,\n  "complete": false,\n  "members": [\n  ]\n}\n'
-        whole = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
-        self.assertEqual(await self.answer_until_announced(lambda writer: writer.write(whole)), "partial")
+        valid_response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
+        self.assertEqual(
+            await self.answer_until_announced(lambda writer: writer.write(valid_response)), "partial"
+        )
         await self.wait_for_call_since(8)
 
 
