--- a/spanwing/frontends/faktory.py
+++ b/spanwing/frontends/faktory.py
@@ -211,7 +211,7 @@
         self.is_draining = True
 
     def drain(self, reject_new: bool = False) -> None:
-        """Starts a drain; connections stay open, and every PUSH is rejected whatever reject_new is."""
+        """Starts a drain; connections stay open. reject_new has no effect, as every PUSH is rejected."""
         self.is_draining = True
 
     def cancel_drain(self) -> None:
@@ -296,7 +296,7 @@
         self.is_closed = False
         self.is_busy = False
         self.is_finished = False
-        self.idle_since_s = IOLoop.current().time()
+        self.idle_since_s = IOLoop.current().time()  # loop time of the accept or the last reply
         self.hello: FaktoryHello | None = None
         self.worker: FaktoryWorker | None = None
         self.pending_fetch: Future[FetchedJob | None] | None = None
