--- a/spanwing/daemon.py
+++ b/spanwing/daemon.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 import msgspec
-from tornado.gen import TimeoutError as WaitOver
+from tornado.gen import TimeoutError as TornadoTimeoutError
 from tornado.gen import sleep
 from tornado.ioloop import IOLoop
 from tornado.locks import Event
@@ -150,7 +150,7 @@
 
         timing = CallTiming.from_settings(settings.drain_grace, not settings.subscribe)
         confirmation = ConfirmationSettings(
-            lambda: permissions.probes and discovery.is_unconfirmed(), timing.unread_after_s
+            lambda: permissions.probes and discovery.is_unconfirmed(), timing.stale_after_unapplied_s
         )
         discovery = self.discovery = DiscoveryClient(
             config.known_endpoints,
@@ -162,7 +162,7 @@
         )
         self.request_manager.directory = discovery
         self.request_manager.guard.is_list_stale = discovery.is_stale
-        self.request_manager.guard.is_list_too_old = discovery.breaks_rule
+        self.request_manager.guard.is_list_too_old = discovery.violates_drain_rule
         # Whatever the scheduler asks for: until the first answer nothing is sent by the persisted list.
         spread_s = start_spread_s(settings.node_count) if settings.subscribe else 0.0
         discovery.watch(spread_s)
@@ -176,7 +176,7 @@
         )
         if hot_restart is not None:
             await hot_restart.take_over(HotRestartContext(self.request_manager, discovery, self.descriptors))
-        with suppress(WaitOver):
+        with suppress(TornadoTimeoutError):
             await discovery.announced.wait(timedelta(seconds=spread_s + FIRST_LIST_WAIT_S))
         self.http_server = _open_listener(
             "ROUTER_LISTEN",
@@ -255,7 +255,7 @@
                     self.buffer_pool,
                     MAX_MANAGEMENT_CONNECTIONS,
                     is_single_request=True,
-                    partial_message_s=0.0,
+                    partial_message_grace_s=0.0,
                 ),
             )
             self.print_address("management", server.address)
@@ -499,7 +499,7 @@
 
     async def wait_until_settled(self) -> None:
         """Waits until no client is owed an answer, including requests that have not been read yet."""
-        while self.http_server.owes_answers() or not self.request_manager.is_idle():
+        while self.http_server.has_unanswered_requests() or not self.request_manager.is_idle():
             await self.request_manager.wait_until_idle()
             await sleep(0.01)
 
--- a/spanwing/store/document_service.py
+++ b/spanwing/store/document_service.py
@@ -16,7 +16,7 @@
 
 import msgspec
 from tornado.concurrent import Future
-from tornado.gen import TimeoutError as WaitOver
+from tornado.gen import TimeoutError as TornadoTimeoutError
 from tornado.gen import sleep, with_timeout
 
 from spanwing.actor import spawn_task
@@ -170,7 +170,7 @@
             return OrderResult(message.message_id, False, f"{MAX_PENDING_ORDERS} orders are pending already")
         try:
             return await with_timeout(timedelta(seconds=ANSWER_TIMEOUT_S), answer_future)
-        except WaitOver:
+        except TornadoTimeoutError:
             return _rejection(message, "no majority of the store's members answers")
 
     async def _learn_leader(self) -> None:
@@ -187,7 +187,7 @@
         )
         try:
             reply = await with_timeout(timedelta(seconds=ANSWER_TIMEOUT_S), pending_reply)
-        except WaitOver:
+        except TornadoTimeoutError:
             pending_reply.cancel()
             reply = None
         if not isinstance(reply, RenewalReply | OrderResult):
--- a/spanwing/workers/http_worker.py
+++ b/spanwing/workers/http_worker.py
@@ -14,7 +14,7 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from tornado.gen import TimeoutError as WaitOver
+from tornado.gen import TimeoutError as TornadoTimeoutError
 from tornado.gen import sleep, with_timeout
 from tornado.ioloop import IOLoop
 from tornado.iostream import StreamClosedError
@@ -269,7 +269,7 @@
             asked_at_s = self.loop.time()
             await connection.write(encode_request("GET", "/alive", {"Host": self.address}))
             response = None
-            with suppress(HttpError, WaitOver):
+            with suppress(HttpError, TornadoTimeoutError):
                 response = await with_timeout(
                     timedelta(seconds=PROBE_TIMEOUT_S),
                     connection.receive(),
@@ -319,7 +319,7 @@
             )
         except HttpError:
             connection.is_response_invalid = True
-        except WaitOver:
+        except TornadoTimeoutError:
             connection.is_response_invalid = not connection.parser.is_idle()
         except StreamClosedError:
             pass
