--- a/spanwing/core/request_manager.py
+++ b/spanwing/core/request_manager.py
@@ -18,7 +18,6 @@
 
 from spanwing import interface as api
 from spanwing.actor import Actor
-from spanwing.scheduler import Scheduler
 from spanwing.core.clock import Clock
 from spanwing.core.messages import (
     AttemptAccepted,
@@ -44,6 +43,7 @@
     ZoneRouting,
 )
 from spanwing.core.send_guard import SendGuard, SendRefusal
+from spanwing.scheduler import Scheduler
 
 DISCOVERY_SOURCE = "discovery"  # name of the directory whose workers come from discovery
 JOURNAL_RETRY_AFTER_MS = 1000.0  # Retry-After for requests that the journal cannot record
@@ -591,7 +591,8 @@
         for each in scheduler.settings.classes:
             if each.name == pending.request.cls and each.idempotency == "keyed":
                 pending.send_until_ms = min(
-                    pending.send_until_ms, forwarded_ms + each.deduplication_window_ms - scheduler.settings.tick_ms
+                    pending.send_until_ms,
+                    forwarded_ms + each.deduplication_window_ms - scheduler.settings.tick_ms,
                 )
 
     def to_discovered_worker(self, request: str, number: int) -> bool:
--- a/spanwing/policy/state_transfer.py
+++ b/spanwing/policy/state_transfer.py
@@ -9,7 +9,6 @@
 from __future__ import annotations
 
 from spanwing import interface as api
-from spanwing.scheduler import Scheduler
 from spanwing.hot_restart.state_transfer import (
     export_scheduler,
     export_worker,
@@ -17,6 +16,7 @@
     import_worker,
     stop_feeding,
 )
+from spanwing.scheduler import Scheduler
 
 
 def create_scheduler(settings: api.Settings, seed: int, now: float, previous: Scheduler) -> Scheduler:
@@ -29,7 +29,9 @@
     for name, account in scheduler.token_accounts.items():
         previous_account = previous.token_accounts.get(name)
         if previous_account is not None and previous_account.quota_per_s > 0:
-            account.burst_allowance = previous_account.burst_allowance * account.quota_per_s / previous_account.quota_per_s
+            account.burst_allowance = (
+                previous_account.burst_allowance * account.quota_per_s / previous_account.quota_per_s
+            )
             account.earned = previous_account.earned * account.quota_per_s / previous_account.quota_per_s
     return scheduler
 
--- a/spanwing/zones/agent.py
+++ b/spanwing/zones/agent.py
@@ -252,7 +252,9 @@
         return self.evidence_collector.build_report(now, slots_by_zone(worker_states, module_now))
 
 
-def slots_by_zone(worker_states: Iterable[WorkerState], module_now: float) -> Iterator[tuple[str, float, float]]:
+def slots_by_zone(
+    worker_states: Iterable[WorkerState], module_now: float
+) -> Iterator[tuple[str, float, float]]:
     """Yields the zone, the slots in flight and the idle slots of each listed worker.
 
     Workers that this scheduler does not own, and workers in backoff, count as having no idle slots.
--- a/spanwing/zones/service.py
+++ b/spanwing/zones/service.py
@@ -368,7 +368,9 @@
     def _collect_evidence(self) -> bytes:
         decision_module = self.request_manager.scheduler
         return msgspec.json.encode(
-            self.agent.build_evidence_report(clock_ms(), decision_module.worker_states.values(), decision_module.now)
+            self.agent.build_evidence_report(
+                clock_ms(), decision_module.worker_states.values(), decision_module.now
+            )
         )
 
     async def _run_background_probes(self) -> None:
--- a/spanwing/zones/state.py
+++ b/spanwing/zones/state.py
@@ -121,4 +121,6 @@
 
 def choose_feeders(worker: int, sessions: list[str], count: int) -> list[str]:
     """Returns the count sessions that feed this worker, chosen by rendezvous hashing."""
-    return nlargest(count, sessions, key=lambda session: (stable_hash(worker, session_hash(session)), session))
+    return nlargest(
+        count, sessions, key=lambda session: (stable_hash(worker, session_hash(session)), session)
+    )
--- a/spanwing/zones/trial_requests.py
+++ b/spanwing/zones/trial_requests.py
@@ -26,7 +26,11 @@
         if self.scheduler.now >= self.ends_at_ms or not self.untried_workers:
             self.scheduler.placement_override = None
             return None
-        if job.attempts or job.service_class.idempotency != "safe" or self.scheduler.settings.max_attempts < 2:
+        if (
+            job.attempts
+            or job.service_class.idempotency != "safe"
+            or self.scheduler.settings.max_attempts < 2
+        ):
             return None
         for worker in sorted(self.untried_workers):
             worker_state = self.scheduler.worker_states.get(worker)
--- a/spanwing/zones/unreachable_work.py
+++ b/spanwing/zones/unreachable_work.py
@@ -22,7 +22,9 @@
     """Fails the waiting requests that could run only in this zone."""
     if not module.queued_count:
         return
-    for job in [each for each in module.jobs.values() if each.is_queued and each.service_class.idempotency == "keyed"]:
+    for job in [
+        each for each in module.jobs.values() if each.is_queued and each.service_class.idempotency == "keyed"
+    ]:
         attempts_that_may_have_run = [each for each in job.attempts if not each.never_ran]
         if (
             attempts_that_may_have_run
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -276,7 +276,9 @@
         self.assertGreater(sent_before, 0)
         stop_feeding(predecessor.node)
         import_scheduler(successor.node, export_scheduler(predecessor.node, 1, "x"), successor.now)
-        import_worker(successor.node.worker_states[1], export_worker(predecessor.node.worker_states[1]), successor.now)
+        import_worker(
+            successor.node.worker_states[1], export_worker(predecessor.node.worker_states[1]), successor.now
+        )
         successor.now = predecessor.now = 600.0
         # The slots are free again, as if other jobs had ended, but the budget of the window is spent.
         successor.node.worker_states[1].foreign_slots = 0.0
@@ -304,7 +306,11 @@
         attempts = export_attempts(job)
         release_request(predecessor.node, request_id)
         self.assertEqual(
-            (predecessor.node.worker_states[worker].reserved_slots, predecessor.node.jobs, predecessor.node.open),
+            (
+                predecessor.node.worker_states[worker].reserved_slots,
+                predecessor.node.jobs,
+                predecessor.node.open,
+            ),
             (0, {}, {}),
         )
         actions = successor.feed(
--- a/tests/test_policy_sound.py
+++ b/tests/test_policy_sound.py
@@ -55,7 +55,9 @@
         policy = create_policy()
         policy["classes"][0]["aim_ms"] = 500.0
         self.assertEqual(self.find_objection(policy, open_requests={"status-read": 7}), "")
-        self.assertEqual(parse_policy(json.dumps(policy), running_state().settings).classes[0].latency_objective_ms, 500.0)
+        self.assertEqual(
+            parse_policy(json.dumps(policy), running_state().settings).classes[0].latency_objective_ms, 500.0
+        )
 
     def test_invalid_policies_and_their_objections(self) -> None:
         policy = create_policy()
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -222,7 +222,9 @@
         """Handles the leader's demand for evidence: all probes succeed, requests fail in this zone only."""
         for worker in agent.choose_workers_to_probe((zone,)):
             agent.probe_finished(driver.now, worker, "ok")
-        trial_requests.start_trials(driver.scheduler, agent.choose_trial_workers(driver.now, (zone,)), driver.now)
+        trial_requests.start_trials(
+            driver.scheduler, agent.choose_trial_workers(driver.now, (zone,)), driver.now
+        )
         request_id, actions = driver.submit()
         worker = sends(actions)[0].worker
         agent.attempt_sent(driver.now, worker, (request_id, 0))
