--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -271,27 +271,29 @@
         for each in (predecessor, successor):
             each.feed(warming_up)
         for _ in range(20):
-            send_counts.append(sum(isinstance(each, Send) for each in predecessor.ask()[1]))
+            send_counts.append(sum(isinstance(each, Send) for each in predecessor.submit()[1]))
         sent_before = sum(send_counts)
         self.assertGreater(sent_before, 0)
-        stop_feeding(predecessor.node)
-        import_scheduler(successor.node, export_scheduler(predecessor.node, 1, "x"), successor.now)
+        stop_feeding(predecessor.scheduler)
+        import_scheduler(successor.scheduler, export_scheduler(predecessor.scheduler, 1, "x"), successor.now)
         import_worker(
-            successor.node.worker_states[1], export_worker(predecessor.node.worker_states[1]), successor.now
+            successor.scheduler.worker_states[1],
+            export_worker(predecessor.scheduler.worker_states[1]),
+            successor.now,
         )
         successor.now = predecessor.now = 600.0
         # The slots are free again, as if other jobs had ended, but the budget of the window is spent.
-        successor.node.worker_states[1].foreign_slots = 0.0
-        sent_after = sum(isinstance(each, Send) for _ in range(20) for each in successor.ask()[1])
-        sent_late = sum(isinstance(each, Send) for _ in range(20) for each in predecessor.ask()[1])
+        successor.scheduler.worker_states[1].foreign_slots = 0.0
+        sent_after = sum(isinstance(each, Send) for _ in range(20) for each in successor.submit()[1])
+        sent_late = sum(isinstance(each, Send) for _ in range(20) for each in predecessor.submit()[1])
         single = Driver()
         single.now = 100.0
         single.feed(warming_up)
-        sent_by_single = sum(isinstance(each, Send) for _ in range(20) for each in single.ask()[1])
+        sent_by_single = sum(isinstance(each, Send) for _ in range(20) for each in single.submit()[1])
         for number in range(sent_by_single):
             single.end(f"r{number + 1}", 0, 1, "ok")
         single.now = 600.0
-        sent_by_single += sum(isinstance(each, Send) for _ in range(20) for each in single.ask()[1])
+        sent_by_single += sum(isinstance(each, Send) for _ in range(20) for each in single.submit()[1])
         self.assertEqual(sent_late, 0)
         self.assertLessEqual(sent_before + sent_after, sent_by_single)
 
@@ -300,16 +302,16 @@
         from spanwing.hot_restart.state_transfer import RequestResumed, export_attempts, release_request
 
         predecessor, successor = Driver(workers=3), Driver(workers=3)
-        request_id, actions = predecessor.ask("bill")
+        request_id, actions = predecessor.submit("bill")
         worker = actions[0].worker
-        job = predecessor.node.jobs[request_id]
+        job = predecessor.scheduler.jobs[request_id]
         attempts = export_attempts(job)
-        release_request(predecessor.node, request_id)
+        release_request(predecessor.scheduler, request_id)
         self.assertEqual(
             (
-                predecessor.node.worker_states[worker].reserved_slots,
-                predecessor.node.jobs,
-                predecessor.node.open,
+                predecessor.scheduler.worker_states[worker].reserved_slots,
+                predecessor.scheduler.jobs,
+                predecessor.scheduler.open_attempts,
             ),
             (0, {}, {}),
         )
@@ -317,24 +319,24 @@
             RequestResumed(api.Request(request_id, "bill", 5000.0), job.arrived_ms, False, False, attempts)
         )
         self.assertEqual(actions, [])  # the attempt is in flight, so no other is sent
-        self.assertEqual(successor.node.worker_states[worker].reserved_slots, 1)
+        self.assertEqual(successor.scheduler.worker_states[worker].reserved_slots, 1)
         # The predecessor ignores the attempt's result. At the successor the request, which must not run
         # twice, fails without a retry.
         self.assertEqual(predecessor.feed(Outcome(request_id, 0, worker, "ok", True, 1.0)), [])
         self.assertEqual(successor.end(request_id, 0, worker, "reset")[-1], api.Fail(request_id))
-        self.assertNotIn(api.Send, {type(each) for each in successor.seen})
-        self.assertEqual(successor.node.worker_states[worker].reserved_slots, 0)
+        self.assertNotIn(api.Send, {type(each) for each in successor.actions})
+        self.assertEqual(successor.scheduler.worker_states[worker].reserved_slots, 0)
 
     def test_transferred_queued_request_is_sent_by_the_successor(self) -> None:
         from spanwing import interface as api
         from spanwing.hot_restart.state_transfer import RequestResumed, export_attempts, release_request
 
         predecessor, successor = Driver(), Driver(workers=1)
-        request_id, _ = predecessor.ask()
-        job = predecessor.node.jobs[request_id]
+        request_id, _ = predecessor.submit()
+        job = predecessor.scheduler.jobs[request_id]
         attempts = export_attempts(job)
-        release_request(predecessor.node, request_id)
-        self.assertEqual(predecessor.node.queued_count, 0)
+        release_request(predecessor.scheduler, request_id)
+        self.assertEqual(predecessor.scheduler.queued_count, 0)
         actions = successor.feed(
             RequestResumed(api.Request(request_id, "look", 5000.0), job.arrived_ms, False, False, attempts)
         )
