--- a/spanwing/policy/validation.py
+++ b/spanwing/policy/validation.py
@@ -44,7 +44,7 @@
     try:
         return next(_objections(text, state), "")
     except (ValueError, TypeError, RecursionError) as error:
-        return _single_line(f"the policy cannot be read: {error}")
+        return _single_line(f"cannot be read: {error}")
 
 
 def remove_per_scheduler_settings(text: str) -> str:
