--- a/spanwing/daemon.py
+++ b/spanwing/daemon.py
@@ -298,7 +298,7 @@
             fault = getattr(error, "strerror", None) or str(error)
             raise ConfigurationError(f"journal.directory: {table.directory}: {fault}") from None
         self.request_manager.recorder = self.journal
-        for file_name, skipped in journal_log.damaged[:MAX_REPORTED_ATTEMPTS]:
+        for file_name, skipped in journal_log.damaged_ranges[:MAX_REPORTED_ATTEMPTS]:
             log_event(
                 "journal_skipped",
                 level="warning",
--- a/spanwing/journal/segment_log.py
+++ b/spanwing/journal/segment_log.py
@@ -132,7 +132,7 @@
 
     def __init__(self, files: FolderFiles, limits: RetentionLimits = RetentionLimits()) -> None:
         self.files, self.limits = files, limits
-        self.damaged: list[tuple[str, DamagedBytes]] = []
+        self.damaged_ranges: list[tuple[str, DamagedBytes]] = []
         self.request_states, self.last_number = self._load_snapshot()
         reader = SegmentReader(files)
         for name in reader.segment_names():
@@ -144,7 +144,7 @@
                 pass  # reported below as damage; nothing is written to it
         for name, each in reader.read_all(self.last_number):
             if isinstance(each, DamagedBytes):
-                self.damaged.append((name, each))
+                self.damaged_ranges.append((name, each))
             else:
                 self.last_number = each.number
                 self.request_states.apply(each.number, each.record)
@@ -162,7 +162,7 @@
                 try:
                     return decode_snapshot(self.files.read(name))
                 except ValueError as error:
-                    self.damaged.append((name, DamagedBytes(0, 0, f"snapshot: {error}")))
+                    self.damaged_ranges.append((name, DamagedBytes(0, 0, f"snapshot: {error}")))
         return RequestStates(), 0
 
     def write(self, batch: list[AnyRecord], now_ms: float) -> int:
--- a/spanwing/journal/writer.py
+++ b/spanwing/journal/writer.py
@@ -78,7 +78,7 @@
             now[0],
         )
         self.interrupted: dict[str, InterruptedRequest] = dict(segment_log.request_states.interrupted)
-        self.damaged = segment_log.damaged
+        self.damaged_ranges = segment_log.damaged_ranges
         self.committer = Committer(segment_log, call_on_loop)
         self.committer.start()
         # If all classes have the same retention, entire segments are removed, and none is compacted.
--- a/tests/golden_folders.py
+++ b/tests/golden_folders.py
@@ -237,7 +237,7 @@
             },
             "last": log.last_number,
             "next": log.next_number,
-            "skipped": log.damaged,
+            "skipped": log.damaged_ranges,
             "open": log.request_states.open_requests,
             "lost": log.request_states.interrupted,
             "left open": log.request_states.unfinished_attempts(),
@@ -273,7 +273,7 @@
         {
             "left open": keeper.unfinished_attempts,
             "lost": keeper.interrupted,
-            "skipped": keeper.damaged,
+            "skipped": keeper.damaged_ranges,
             "earlier": known,
             "may be sent": may,
             "closed": closed,
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -333,7 +333,7 @@
                     self.thin(disk, log)
                 left = disk.after_power_loss()
                 again = SegmentLog(left, self.BOUNDS)  # it opens, and a second try ends what the first began
-                self.assertEqual(again.damaged, [])
+                self.assertEqual(again.damaged_ranges, [])
                 self.thin(left, again)
                 kept = self.there(left)
                 self.assertEqual([each for each in kept if each in set(long)], long)
@@ -374,7 +374,7 @@
         disk.room = None
         log.write(records("c"), 0.0)
         again = SegmentLog(disk, SMALL)
-        self.assertIn("torn tail", " ".join(each.reason for _, each in again.damaged))
+        self.assertIn("torn tail", " ".join(each.reason for _, each in again.damaged_ranges))
         there = {
             each.record.request for _, each in SegmentReader(disk).read_all() if isinstance(each, RecordFrame)
         }
