--- a/spanwing/journal/__init__.py
+++ b/spanwing/journal/__init__.py
@@ -1,1 +1,4 @@
-"""The journal of non-idempotent work: what was forwarded, to which worker and when; it makes no decisions."""
+"""The journal of non-idempotent work: records which request was forwarded to which worker and when.
+
+The journal makes no scheduling decisions.
+"""
--- a/spanwing/journal/frames.py
+++ b/spanwing/journal/frames.py
@@ -1,12 +1,15 @@
-"""The bytes of a segment: a header, then frames, each with its length, number and checksum.
+"""The format of a segment: a header, then frames, each with its length, record number and checksum.
 
-A frame is read complete or not at all, whatever tears, zeroes or swaps bytes; after damage the next complete
-frame is found, however far away. A frame of another place or segment is never accepted here, as its number is
-part of the checksum and has to grow. The checksum is CRC32C (RFC 3720, B.4).
+A frame is read completely or not at all, also after a write that left bytes torn, zeroed or out of order.
+After damage, reading continues at the next complete frame, however far away. Record numbers are covered by
+the checksum and must increase, so a frame from an earlier position or segment is never accepted. The checksum
+is CRC32C (RFC 3720, B.4).
 
-Layout, big endian, sizes in bytes. Header: magic 8, version 2, flags 2, first number 8, start (wall clock,
-ms) 8, last record before the segment 8, checksum of these 4. Frame: mark 2, length 4, number 8, checksum of
-length, number and payload 4, payload.
+Layout (big endian, sizes in bytes):
+
+    header: magic 8, version 2, flags 2, first record number 8, start time (wall clock, ms) 8,
+            last record number before the segment 8, checksum of all these fields 4
+    frame:  mark 2, payload length 4, record number 8, checksum of length, number and payload 4, payload
 """
 
 from __future__ import annotations
@@ -25,11 +28,11 @@
 FRAME_MARK = b"\xa5\x4a"
 FRAME_STRUCT = struct.Struct("!2sIQI")
 CHECKSUM_PREFIX_STRUCT = struct.Struct("!IQ")
-COMPACTED_FLAG = 1  # flag: records were dropped, so numbers may skip
+COMPACTED_FLAG = 1  # bit of the header's flags: records were dropped, so numbers may have gaps
 
 
 class FutureVersionError(ValueError):
-    """The segment was written by a newer program."""
+    """The segment was written by a newer version of the program."""
 
 
 class SegmentHeader(NamedTuple):
@@ -38,59 +41,62 @@
     first_number: int  # the number of its first record
     started_ms: float  # wall clock, ms
     flags: int = 0
-    last_number_before: int = (
-        0  # the last record that was on disk before it: any of those that are missing are lost
-    )
+    # The number of the last record on disk when the segment was started. A record up to this number that
+    # is in no earlier segment was lost.
+    last_number_before: int = 0
 
 
 class RecordFrame(NamedTuple):
-    """A complete record, its number and its offset."""
+    """A complete frame: its record, the record's number and the frame's offset."""
 
     number: int
-    offset: int
+    offset: int  # bytes from the start of the segment
     record: AnyRecord
 
 
 class DamagedBytes(NamedTuple):
-    """Bytes that are no complete frame; reason is one line, missing_numbers counts the missing records."""
+    """A range of bytes without a complete frame; a fault of no bytes, as a gap in the numbers, has size 0."""
 
-    offset: int
+    offset: int  # bytes from the start of the segment
     size: int
-    reason: str
-    missing_numbers: int = 0
+    reason: str  # one line
+    missing_numbers: int = 0  # how many records are missing
 
 
 def encode_header(header: SegmentHeader) -> bytes:
-    """Encodes a segment's header, with its checksum."""
-    head = HEADER_STRUCT.pack(
+    """Returns the bytes of a segment's header, with its checksum."""
+    fields = HEADER_STRUCT.pack(
         MAGIC, VERSION, header.flags, header.first_number, header.started_ms, header.last_number_before
     )
-    return head + struct.pack("!I", google_crc32c.value(head))
+    return fields + struct.pack("!I", google_crc32c.value(fields))
 
 
 def decode_header(data: bytes | memoryview) -> SegmentHeader:
-    """Decodes a header. Raises FutureVersionError, and ValueError for any other unusable header."""
+    """Returns the header that a segment's data begins with.
+
+    Raises FutureVersionError if a newer program wrote it, ValueError for any other unusable header.
+    """
     if len(data) < HEADER_SIZE:
         raise ValueError("cut off within its header")
-    head = bytes(data[: HEADER_STRUCT.size])
-    magic, version, flags, first, started_ms, after = HEADER_STRUCT.unpack(head)
+    fields = bytes(data[: HEADER_STRUCT.size])
+    magic, version, flags, first_number, started_ms, last_number_before = HEADER_STRUCT.unpack(fields)
     if magic != MAGIC:
         raise ValueError("not a journal's segment")
-    if struct.unpack_from("!I", data, HEADER_STRUCT.size)[0] != google_crc32c.value(head):
+    if struct.unpack_from("!I", data, HEADER_STRUCT.size)[0] != google_crc32c.value(fields):
         raise ValueError("damaged header")
     if version > VERSION:
         raise FutureVersionError(f"version {version}, this program reads up to {VERSION}")
-    return SegmentHeader(first, started_ms, flags, after)
+    return SegmentHeader(first_number, started_ms, flags, last_number_before)
 
 
 def encode_frame(number: int, payload: bytes) -> bytes:
-    """Encodes one frame, with its checksum."""
+    """Returns the bytes of one frame, with its checksum."""
     checksum = google_crc32c.value(CHECKSUM_PREFIX_STRUCT.pack(len(payload), number) + payload)
     return FRAME_STRUCT.pack(FRAME_MARK, len(payload), number, checksum) + payload
 
 
 def _decode_frame(data: memoryview, offset: int, last_number: int) -> RecordFrame | None:
-    """Returns the frame at this offset if its number is above last_number; None if there is none."""
+    """Returns the complete frame at this offset if its number is above last_number, else None."""
     if offset + FRAME_STRUCT.size > len(data):
         return None
     mark, length, number, checksum = FRAME_STRUCT.unpack_from(data, offset)
@@ -116,7 +122,8 @@
 ) -> Iterator[RecordFrame | DamagedBytes]:
     """Yields all complete frames from an offset on, in order, and the damage between them.
 
-    first_number is the lowest number that the next frame may have; is_compacted: numbers may skip.
+    first_number is the lowest number that the next frame may have. Without is_compacted, a gap in the numbers
+    counts as damage.
     """
     view = memoryview(data)
     last_number = first_number - 1
@@ -150,7 +157,10 @@
 def _find_next_frame(
     data: bytes | memoryview, view: memoryview, start: int, last_number: int
 ) -> RecordFrame | None:
-    """Returns the next complete frame: searched by its mark, confirmed by its checksum."""
+    """Returns the next complete frame from offset start on; None if there is none.
+
+    Candidates are found by the frame mark and confirmed by their checksum.
+    """
     raw = data if isinstance(data, bytes) else bytes(data[start:])
     raw_start = 0 if isinstance(data, bytes) else start
     position = raw.find(FRAME_MARK, start - raw_start)
--- a/spanwing/journal/records.py
+++ b/spanwing/journal/records.py
@@ -1,19 +1,21 @@
 """The records of the journal, and their encoding on disk.
 
-Every record names its request and carries both clocks in ms (the wall clock for people, the monotonic one for
-spans within one incarnation of the daemon). Fields are only ever added at the end, with a default, so that a
-newer program reads an older file. Encoded by msgpack as an array that begins with its tag.
+Each record is a msgpack array that begins with the tag of its type. Every record names its request and
+carries two times in ms: wall_ms is for operators, mono_ms measures durations within one incarnation of the
+daemon. New fields are only appended, with a default, so that a newer program reads an older file.
+
+The names of the fields are part of the output of `spanwing journal tail`.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-MAX_RECORD_BYTES = 16 * 1024  # of one record; the frontends bound ids and keys
+MAX_RECORD_BYTES = 16 * 1024  # of one encoded record; the front ends bound the length of ids and keys
 
 
 class JournalRecord(msgspec.Struct, array_like=True, frozen=True, omit_defaults=False):
-    """The fields of every record."""
+    """The fields that every record has."""
 
     request: str
     wall_ms: float
@@ -21,15 +23,15 @@
 
 
 class ProcessStarted(JournalRecord, tag="S"):
-    """An incarnation of the daemon begins; request is empty."""
+    """An incarnation of the daemon started; request is empty."""
 
     name: str = ""
-    life: str = ""  # random, new at each start
-    certain: bool = True  # in this incarnation nothing is forwarded without an intent on disk
+    life: str = ""  # random id of the incarnation
+    certain: bool = True  # this incarnation forwards nothing before its intent is on disk
 
 
 class RequestAccepted(JournalRecord, tag="T"):
-    """A non-idempotent request was accepted, and from whom."""
+    """A non-idempotent request was accepted from a client."""
 
     cls: str = ""
     tenant: str = ""
@@ -39,7 +41,7 @@
 
 
 class AttemptIntent(JournalRecord, tag="I"):
-    """An attempt is about to be forwarded; on disk before its first byte may leave."""
+    """An attempt is about to be forwarded. The record is on disk before the attempt's first byte is sent."""
 
     attempt: int = 0
     worker: str = ""
@@ -47,13 +49,13 @@
 
 
 class LastByteWritten(JournalRecord, tag="L"):
-    """The attempt's last byte was written: from here on it counts as sent."""
+    """The attempt's last byte was written to its connection; from then on the attempt counts as sent."""
 
     attempt: int = 0
 
 
 class AttemptUnsent(JournalRecord, tag="U"):
-    """The attempt has ended, and its last byte was certainly not written."""
+    """The attempt ended, and its last byte was certainly not written."""
 
     attempt: int = 0
     why: str = ""
@@ -67,27 +69,30 @@
 
 
 class AttemptCompleted(JournalRecord, tag="O"):
-    """The worker's result of the attempt, or how its connection ended."""
+    """The attempt ended, with the worker's result or the way in which its connection ended."""
 
     attempt: int = 0
     result: str = ""
 
 
 class RequestAnswered(JournalRecord, tag="A"):
-    """The request's one final answer."""
+    """The request got its only final answer."""
 
     kind: str = ""
 
 
 class AttemptClosed(JournalRecord, tag="C"):
-    """At a start: an attempt that an earlier incarnation left open, possibly sent."""
+    """An attempt that an earlier incarnation left open, possibly sent. Written when the daemon starts."""
 
     attempt: int = 0
     worker: str = ""
 
 
 class JournalGap(JournalRecord, tag="X"):
-    """Requests were served without being recorded, as the operator chose; request is empty."""
+    """Records are missing: they were lost or could not be written; request is empty.
+
+    With the failure policy `serve`, the requests of these records may have been forwarded all the same.
+    """
 
     since_wall_ms: float = 0.0
     count: int = 0
@@ -107,7 +112,7 @@
     | JournalGap
 )
 
-#: The command line's name for each record.
+# The name of each record type in the output of the command line.
 RECORD_KINDS: dict[type[JournalRecord], str] = {
     ProcessStarted: "started",
     RequestAccepted: "taken",
@@ -126,7 +131,7 @@
 
 
 def encode_record(record: AnyRecord) -> bytes:
-    """Encodes a record. Raises ValueError if it is longer than MAX_RECORD_BYTES."""
+    """Returns the record's msgpack encoding. Raises ValueError if it is longer than MAX_RECORD_BYTES."""
     data = _encoder.encode(record)
     if len(data) > MAX_RECORD_BYTES:
         raise ValueError(f"a record of {len(data)} bytes, {MAX_RECORD_BYTES} are possible")
@@ -134,7 +139,7 @@
 
 
 def decode_record(data: bytes | memoryview) -> AnyRecord:
-    """Decodes a record. Raises ValueError if the data is none."""
+    """Returns the record that the data encodes. Raises ValueError if the data is not a record."""
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
