--- a/spanwing/journal/committer.py
+++ b/spanwing/journal/committer.py
@@ -1,10 +1,12 @@
-"""Group commit: records are submitted on the loop, written and synced by a thread, and reported on the loop.
+"""Group commit: a thread writes and syncs the records that the event loop submits, many with one sync.
 
-submit() never waits for the disk; at most MAX_PENDING_RECORDS records are pending, beyond them it returns
-False. Records reach the disk in the order of their submission. A callback gets "" only once its records are
-on disk, and a reason if they may not be. After a failure the disk is not tried for DISK_BACKOFF_S: records
-that come meanwhile get the same reason at once; then a write is retried, whether records are pending or not.
-Records that were lost or left out are written down as a JournalGap as soon as the disk takes records again.
+submit() never waits for the disk. At most MAX_PENDING_RECORDS records are pending; beyond that submit()
+returns False. Records reach the disk in the order of submission. Each callback runs on the event loop: with
+an empty reason once its records are on disk, otherwise with the reason why they may not be.
+
+For DISK_BACKOFF_S after a failed write nothing is written, and records that are due meanwhile fail at once
+with the same reason. Then a write is retried, even if no records are pending. Records that were lost or
+rejected are counted, and the next successful write includes a JournalGap with their count.
 """
 
 from __future__ import annotations
@@ -19,25 +21,26 @@
 from spanwing.journal.segment_log import SegmentLog
 
 MAX_PENDING_RECORDS = 20_000
-MAX_BATCH_RECORDS = 1024  # in one write
-DISK_BACKOFF_S = 1.0
-BATCH_DELAY_S = 0.05
+MAX_BATCH_RECORDS = 1024  # records in one write
+DISK_BACKOFF_S = 1.0  # time without writes after a failed write
+BATCH_DELAY_S = 0.05  # longest delay of records without a callback
 RETENTION_INTERVAL_S = 60.0
 
-CommitCallback = Callable[[str], None]
+CommitCallback = Callable[[str], None]  # gets the reason of the failure; empty if the records are on disk
 
 
 class PendingBatch(NamedTuple):
-    """Records that are written together, and the callback that gets the result."""
+    """The records of one submit() call, written together, and the callback that gets the result."""
 
     records: list[AnyRecord]
     on_commit: CommitCallback | None
 
 
 class Committer:
-    """Owns the log from start() on.
+    """Writes records to a segment log in a thread of its own, which owns the log from start() on.
 
-    call_on_loop runs a call on the loop, from any thread.
+    call_on_loop schedules a call on the event loop and may be used from any thread. wall_clock_ms returns the
+    wall clock in ms, clock the monotonic clock in s.
     """
 
     def __init__(
@@ -54,28 +57,27 @@
             clock,
         )
         self.pending: deque[PendingBatch] = deque()
-        self.pending_records = 0  # records in `pending`
-        self.has_waiter = False  # a pending record has a callback
+        self.pending_records = 0  # number of records in `pending`
+        self.is_write_due = False  # a pending batch has a callback, or a full batch is pending
         self.condition = threading.Condition()
         self.is_stopping = False
         self.failure_reason, self.retry_at_s = "", 0.0
         self.lost_records, self.lost_since_ms, self.lost_reason = 0, 0.0, ""
         self.syncs = self.written_records = 0
-        self.write_started_at_s: float | None = None  # set while a write is in progress
+        self.write_started_at_s: float | None = None  # None while no write is in progress
         self.last_retention_at_s = clock()
-        self.oldest_needed_number = (
-            segment_log.request_states.oldest_needed_number()
-        )  # as of the last retention run: the first record that is still needed
+        # The number of the oldest record that an open request needs, as of the last retention run.
+        self.oldest_needed_number = segment_log.request_states.oldest_needed_number()
         self.thread = threading.Thread(target=self._run, name="journal", daemon=True)
 
     def start(self) -> None:
-        """Starts the thread that writes."""
+        """Starts the writer thread."""
         self.thread.start()
 
     def submit(self, records: list[AnyRecord], on_commit: CommitCallback | None = None) -> bool:
-        """Submits records; returns False if too many are pending.
+        """Submits records for one write and returns whether they were accepted.
 
-        Then, or once stop() was called, none is taken and on_commit is not called.
+        Records are rejected if too many are pending or stop() was called; on_commit is not called then.
         """
         with self.condition:
             if self.is_stopping or self.pending_records + len(records) > MAX_PENDING_RECORDS:
@@ -83,18 +85,19 @@
                 return False
             self.pending.append(PendingBatch(records, on_commit))
             self.pending_records += len(records)
-            # Records without a callback are written with those that have one, or BATCH_DELAY_S later.
+            # Records without a callback are written together with the next that have one, or after
+            # BATCH_DELAY_S.
             if on_commit is not None or self.pending_records >= MAX_BATCH_RECORDS:
-                self.has_waiter = True
+                self.is_write_due = True
                 self.condition.notify()
             elif self.pending_records == len(records):
                 self.condition.notify()
         return True
 
     def unavailable_reason(self, slow_after_s: float) -> str:
-        """Returns why a write cannot be relied on soon; empty if it can.
+        """Returns why a new record may not be on disk soon; empty if nothing speaks against it.
 
-        A write that takes longer than slow_after_s counts as slow.
+        Either the write in progress has taken longer than slow_after_s, or the last write failed.
         """
         started_at_s = self.write_started_at_s
         if started_at_s is not None and self.clock() - started_at_s > slow_after_s:
@@ -102,7 +105,7 @@
         return self.failure_reason
 
     def stop(self, timeout_s: float = 5.0) -> bool:
-        """Writes what is pending, then ends the thread; returns whether that was done within timeout_s."""
+        """Writes the pending records and ends the thread; returns whether it ended within timeout_s."""
         with self.condition:
             self.is_stopping = True
             self.condition.notify()
@@ -114,34 +117,41 @@
             with self.condition:
                 while not self.pending and not self.is_stopping and not self._is_retry_due():
                     self.condition.wait(DISK_BACKOFF_S if self.failure_reason else None)
-                self.condition.wait_for(lambda: self.has_waiter or self.is_stopping, BATCH_DELAY_S)
-                batch = self._dequeue_batch()
-                self.has_waiter = any(handed.on_commit for handed in self.pending)
-            if not batch and self.is_stopping:
+                self.condition.wait_for(lambda: self.is_write_due or self.is_stopping, BATCH_DELAY_S)
+                batches = self._dequeue_batches()
+                self.is_write_due = any(batch.on_commit for batch in self.pending)
+            if not batches and self.is_stopping:
                 self.segment_log.close()
                 return
-            self._commit(batch)
+            self._commit(batches)
             self._apply_retention()
 
     def _is_retry_due(self) -> bool:
-        """Returns whether the disk is to be tried again after a failure.
+        """Returns whether the last write failed and DISK_BACKOFF_S has passed since.
 
-        A retry needs no records: requests may be rejected until a write succeeds.
+        The retry must not wait for records: none may be submitted, as requests are rejected until a write
+        succeeds.
         """
         return bool(self.failure_reason) and self.clock() >= self.retry_at_s
 
-    def _dequeue_batch(self) -> list[PendingBatch]:
-        """Returns what is written together; submitted records larger than a batch are written alone."""
-        batch: list[PendingBatch] = []
-        size = 0
-        while self.pending and (not batch or size + len(self.pending[0].records) <= MAX_BATCH_RECORDS):
-            batch.append(self.pending.popleft())
-            size += len(batch[-1].records)
-        self.pending_records -= size
-        return batch
-
-    def _commit(self, batch: list[PendingBatch]) -> None:
-        records = [record for handed in batch for record in handed.records]
+    def _dequeue_batches(self) -> list[PendingBatch]:
+        """Removes and returns the oldest pending batches, MAX_BATCH_RECORDS records at most.
+
+        A single batch that is larger is returned alone.
+        """
+        batches: list[PendingBatch] = []
+        record_count = 0
+        while self.pending and (
+            not batches or record_count + len(self.pending[0].records) <= MAX_BATCH_RECORDS
+        ):
+            batches.append(self.pending.popleft())
+            record_count += len(batches[-1].records)
+        self.pending_records -= record_count
+        return batches
+
+    def _commit(self, batches: list[PendingBatch]) -> None:
+        """Writes the batches' records, or counts them as lost, and calls their callbacks on the loop."""
+        records = [record for batch in batches for record in batch.records]
         reason = (
             self.failure_reason
             if self.failure_reason and self.clock() < self.retry_at_s
@@ -150,23 +160,25 @@
         if reason:
             with self.condition:
                 self._count_lost(len(records), reason)
-        # One call on the loop for all callbacks: a wake-up for each would cost more than the shared sync.
-        callbacks = [handed.on_commit for handed in batch if handed.on_commit is not None]
+        # One call on the event loop runs all callbacks: waking it for each would cost more than the sync that
+        # they share.
+        callbacks = [batch.on_commit for batch in batches if batch.on_commit is not None]
         if callbacks:
             self.call_on_loop(_run_callbacks, callbacks, reason)
 
     def _write(self, records: list[AnyRecord]) -> str:
-        now = self.wall_clock_ms()
+        """Writes the records, after a JournalGap if any were lost; returns the reason if that failed."""
+        now_ms = self.wall_clock_ms()
         with self.condition:
             lost_records, lost_since_ms, lost_reason = self.lost_records, self.lost_since_ms, self.lost_reason
         if lost_records:
             records = [
-                JournalGap("", now, self.clock() * 1000.0, lost_since_ms, lost_records, lost_reason),
+                JournalGap("", now_ms, self.clock() * 1000.0, lost_since_ms, lost_records, lost_reason),
                 *records,
             ]
         self.write_started_at_s = self.clock()
         try:
-            self.segment_log.write(records, now)
+            self.segment_log.write(records, now_ms)
         except (OSError, ValueError) as error:
             self.failure_reason = getattr(error, "strerror", None) or str(error)
             self.retry_at_s = self.clock() + DISK_BACKOFF_S
@@ -180,11 +192,13 @@
         return ""
 
     def _count_lost(self, count: int, reason: str) -> None:
+        """Adds to the lost records that the next JournalGap reports."""
         if not self.lost_records:
             self.lost_since_ms = self.wall_clock_ms()
         self.lost_records, self.lost_reason = self.lost_records + count, reason
 
     def _apply_retention(self) -> None:
+        """Removes expired segments, once in RETENTION_INTERVAL_S."""
         if self.clock() - self.last_retention_at_s < RETENTION_INTERVAL_S:
             return
         self.last_retention_at_s = self.clock()
@@ -198,5 +212,5 @@
 
 
 def _run_callbacks(callbacks: list[CommitCallback], reason: str) -> None:
-    for each in callbacks:
-        each(reason)
+    for callback in callbacks:
+        callback(reason)
