--- a/spanwing/journal/segment_log.py
+++ b/spanwing/journal/segment_log.py
@@ -1,10 +1,11 @@
 """The segment log: writes records to segments on disk, and reads them.
 
-write() returns only when every record of the batch is on disk, with its segment's header and name. A batch
-that fails is not acknowledged, its segment is never written again, and the next batch starts another one. A
-segment is never cut or changed by a write: a new incarnation starts a new segment, so whatever a crash left
-stays for inspection. Nothing that an open request needs is removed. All calls block: they run in a thread of
-their own.
+write() returns only when every record of the batch is on disk, with its segment's header and name. If a write
+fails, its batch is not acknowledged, its segment is never written again, and the next batch starts a new
+segment. A write only appends, and a new incarnation starts a new segment, so whatever a crash left stays
+available for inspection. Records that an open request needs are never removed.
+
+All calls block, so the daemon makes them from the committer's thread once the log is open.
 """
 
 from __future__ import annotations
@@ -31,17 +32,17 @@
 from spanwing.journal.snapshot import decode_snapshot, encode_snapshot
 
 SEGMENT_SUFFIX, SNAPSHOT_SUFFIX, PARTIAL_SUFFIX, INDEX_SUFFIX = ".log", ".snap", ".part", ".idx"
-MAX_SNAPSHOTS = 2
-NUMBERS_SKIPPED_AT_START = 1 << 20
+MAX_SNAPSHOTS = 2  # if the newest is damaged, the one before is used
+NUMBERS_SKIPPED_AT_START = 1 << 20  # record numbers that a lost tail may have used
 
 
 def segment_name(first_number: int) -> str:
-    """Returns the name of the segment that begins with this record's number."""
+    """Returns the name of the segment whose first record has this number."""
     return f"{first_number:016x}{SEGMENT_SUFFIX}"
 
 
 def number_in_name(name: str) -> int | None:
-    """Returns the number in a file's name; None if it is no segment or snapshot."""
+    """Returns the record number in the name of a segment or snapshot; None for any other name."""
     stem, _, suffix = name.rpartition(".")
     if f".{suffix}" not in (SEGMENT_SUFFIX, SNAPSHOT_SUFFIX) or len(stem) != 16:
         return None
@@ -53,13 +54,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RetentionLimits:
-    """When a segment ends, and how long and how much is retained."""
+    """The largest size and age of a segment, and the limits of retention."""
 
-    segment_bytes: int = 64 * 1024 * 1024
-    segment_ms: float = 3_600_000.0
+    segment_bytes: int = 64 * 1024 * 1024  # a write that would exceed it starts a new segment
+    segment_ms: float = 3_600_000.0  # age after which a write starts a new segment
     retention_ms: float = 90 * 86_400_000.0
-    retention_bytes: int = 4 * 1024 * 1024 * 1024
-    retention_ms_by_class: Mapping[str, float] = field(default_factory=dict)  # by class, where it differs
+    retention_bytes: int = 4 * 1024 * 1024 * 1024  # of all segments together
+    retention_ms_by_class: Mapping[str, float] = field(default_factory=dict)  # where it is not retention_ms
 
     def retention_ms_for(self, cls: str) -> float:
         """Returns the retention of a class, in ms."""
@@ -67,7 +68,7 @@
 
     @property
     def longest_retention_ms(self) -> float:
-        """Returns the longest retention of any class, in ms; no settled request is kept for longer."""
+        """Returns the longest retention of any class, in ms; a segment older than that may be removed."""
         return (
             max(self.retention_ms, *self.retention_ms_by_class.values())
             if self.retention_ms_by_class
@@ -76,7 +77,7 @@
 
 
 class SegmentReader:
-    """Reads the records of a folder, in order, without a lock."""
+    """Reads the records of a folder in the order of their numbers, without a lock."""
 
     def __init__(self, files: FolderFiles) -> None:
         self.files = files
@@ -90,16 +91,19 @@
         )
 
     def read_all(self, after_number: int = 0) -> Iterator[tuple[str, RecordFrame | DamagedBytes]]:
-        """Yields the complete records with a number above after_number, and all damage, by segment."""
+        """Yields the complete frames with a number above after_number, and the damage, by segment name.
+
+        A segment whose records all have lower numbers is not read, so its damage is not reported.
+        """
         names, last_number, expects_predecessor = self.segment_names(), after_number, bool(after_number)
         for position, name in enumerate(names):
             next_first_number = number_in_name(names[position + 1]) if position + 1 < len(names) else None
             if next_first_number is not None and next_first_number <= after_number + 1:
-                continue  # all of its records are older
+                continue  # all records of this segment have lower numbers
             try:
                 data = self.files.read(name)
             except FileNotFoundError:
-                continue  # retention has removed it meanwhile
+                continue  # removed by retention since the names were listed
             try:
                 header = decode_header(data)
             except ValueError as error:
@@ -115,20 +119,26 @@
                         header.last_number_before - last_number,
                     ),
                 )
-            # Records before the oldest segment are not missing: retention has removed them.
+            # The first segment has no predecessor to compare with: retention has removed the records before
+            # it. After a compacted segment no records count as missing either.
             expects_predecessor = not header.flags & COMPACTED_FLAG
-            for each in read_frames(
+            for item in read_frames(
                 data, header.first_number, HEADER_SIZE, bool(header.flags & COMPACTED_FLAG)
             ):
-                if isinstance(each, DamagedBytes):
-                    yield name, each
-                elif each.number > last_number:
-                    last_number = each.number
-                    yield name, each
+                if isinstance(item, DamagedBytes):
+                    yield name, item
+                elif item.number > last_number:
+                    last_number = item.number
+                    yield name, item
 
 
 class SegmentLog:
-    """The log, open in one process at a time; request_states follows what is on disk."""
+    """The log, open for writing in one process at a time.
+
+    request_states holds the state of the requests by the records on disk, damaged_ranges the damage that was
+    found when the log was opened, by file name. The constructor raises ValueError if a newer program wrote a
+    segment.
+    """
 
     def __init__(self, files: FolderFiles, limits: RetentionLimits = RetentionLimits()) -> None:
         self.files, self.limits = files, limits
@@ -141,14 +151,15 @@
             except FutureVersionError as error:
                 raise ValueError(f"{name}: {error}") from None
             except ValueError:
-                pass  # reported below as damage; nothing is written to it
-        for name, each in reader.read_all(self.last_number):
-            if isinstance(each, DamagedBytes):
-                self.damaged_ranges.append((name, each))
+                pass  # read_all() reports it as damage
+        for name, item in reader.read_all(self.last_number):
+            if isinstance(item, DamagedBytes):
+                self.damaged_ranges.append((name, item))
             else:
-                self.last_number = each.number
-                self.request_states.apply(each.number, each.record)
-        # Numbers that a lost tail may have used are skipped: none may stand for two records.
+                self.last_number = item.number
+                self.request_states.apply(item.number, item.record)
+        # Records of a lost tail may have had the next numbers. They are skipped, as no two records may have
+        # the same number.
         highest_number = max(
             [self.last_number, *(number_in_name(name) or 0 for name in reader.segment_names())]
         )
@@ -157,6 +168,10 @@
         self.current_bytes, self.segment_started_ms = 0, 0.0
 
     def _load_snapshot(self) -> tuple[RequestStates, int]:
+        """Returns the states and the last record number of the newest usable snapshot.
+
+        Without a usable snapshot, the states are empty and the number is 0.
+        """
         for name in sorted(self.files.names(), reverse=True):
             if name.endswith(SNAPSHOT_SUFFIX) and number_in_name(name) is not None:
                 try:
@@ -168,13 +183,15 @@
     def write(self, batch: list[AnyRecord], now_ms: float) -> int:
         """Writes and syncs a batch; returns the number of its last record.
 
-        Raises OSError: then none of the batch may be relied on, though all of it may be on disk.
+        Raises OSError if the write fails: none of the batch may be relied on then, though all of it may be on
+        disk. Raises ValueError if a record is too long.
         """
         numbers = range(self.next_number, self.next_number + len(batch))
         data = b"".join(
             encode_frame(number, encode_record(record)) for number, record in zip(numbers, batch, strict=True)
         )
-        # A clock that stepped back must not keep a segment open for ever.
+        # A negative age, after the clock stepped back, also starts a new segment: the current one would
+        # otherwise stay open until the clock has caught up.
         is_too_old = not 0 <= now_ms - self.segment_started_ms < self.limits.segment_ms
         if (
             self.current_segment is None
@@ -182,10 +199,8 @@
             or self.current_bytes + len(data) > self.limits.segment_bytes
         ):
             self._start_segment(now_ms)
-        name, self.next_number = (
-            self.current_segment,
-            numbers.stop,
-        )  # even if the write fails: no number is used twice
+        # The numbers count as used even if the write fails: part of the batch may be on disk.
+        name, self.next_number = self.current_segment, numbers.stop
         try:
             self.files.append(name, data)
             self.files.sync(name)
@@ -199,7 +214,10 @@
         return self.last_number
 
     def _start_segment(self, now_ms: float) -> None:
-        """Starts a segment; it counts only once its header and its name are on disk."""
+        """Starts a segment, and makes its header and its name durable before any record is written.
+
+        If it replaces an open segment, a snapshot is written as well. Raises OSError.
+        """
         previous = self.current_segment
         self._close_segment()
         name = segment_name(self.next_number)
@@ -212,24 +230,28 @@
             self.files.sync_folder()
         except OSError:
             self.files.close(name)
-            self.next_number += 1  # a retry creates another file
+            self.next_number += 1  # the name contains the number, so a retry creates another file
             raise
         self.current_segment, self.current_bytes, self.segment_started_ms = name, HEADER_SIZE, now_ms
         if previous is not None:
             self.write_snapshot()
 
     def _close_segment(self) -> None:
+        """Closes the current segment, if any; the next write starts another one."""
         if self.current_segment is not None:
             self.files.close(self.current_segment)
             self.current_segment = None
 
     def write_snapshot(self) -> None:
-        """Writes a snapshot of the open requests; a crash at any point leaves the one before."""
+        """Writes a snapshot of the request states and removes all but the newest MAX_SNAPSHOTS.
+
+        A crash at any point leaves the snapshots before it usable. Raises OSError.
+        """
         name = f"{self.last_number:016x}{SNAPSHOT_SUFFIX}"
         partial_name = name + PARTIAL_SUFFIX
-        for each in self.files.names():
-            if each.endswith(SNAPSHOT_SUFFIX + PARTIAL_SUFFIX):
-                self.files.remove(each)
+        for file_name in self.files.names():
+            if file_name.endswith(SNAPSHOT_SUFFIX + PARTIAL_SUFFIX):
+                self.files.remove(file_name)
         self.files.create(partial_name)
         try:
             self.files.append(partial_name, encode_snapshot(self.request_states, self.last_number))
@@ -238,25 +260,27 @@
             self.files.close(partial_name)
         self.files.rename(partial_name, name)
         self.files.sync_folder()
-        snapshots = sorted(each for each in self.files.names() if each.endswith(SNAPSHOT_SUFFIX))
-        for each in snapshots[:-MAX_SNAPSHOTS]:
-            self.files.remove(each)
+        snapshots = sorted(
+            file_name for file_name in self.files.names() if file_name.endswith(SNAPSHOT_SUFFIX)
+        )
+        for file_name in snapshots[:-MAX_SNAPSHOTS]:
+            self.files.remove(file_name)
 
     def remove_expired(self, now_ms: float) -> list[str]:
-        """Removes segments beyond the limits of time or size; returns their names.
+        """Removes the oldest segments beyond the limits of age or total size; returns their names.
 
-        A segment that an open request needs stays, and so does the last one.
+        Segments that an open request needs stay, as do all later ones and the last one. Raises OSError.
         """
         names = SegmentReader(self.files).segment_names()
         oldest_needed = self.request_states.oldest_needed_number()
         sizes = {name: self.files.size(name) for name in names}
         total_bytes, removed = sum(sizes.values()), []
-        for name, following in pairwise(names):
-            next_first_number = number_in_name(following)
+        for name, next_name in pairwise(names):
+            next_first_number = number_in_name(next_name)
             if oldest_needed is not None and oldest_needed < next_first_number:
                 break
             try:
-                ended_ms = decode_header(self.files.read(following, HEADER_SIZE)).started_ms
+                ended_ms = decode_header(self.files.read(next_name, HEADER_SIZE)).started_ms
             except ValueError:
                 break
             if (
@@ -265,9 +289,9 @@
             ):
                 break
             self.files.remove(name)
-            index = name.removesuffix(SEGMENT_SUFFIX) + INDEX_SUFFIX
-            if index in self.files.names():  # nothing else would remove it
-                self.files.remove(index)
+            index_name = name.removesuffix(SEGMENT_SUFFIX) + INDEX_SUFFIX
+            if index_name in self.files.names():  # nothing else removes an index
+                self.files.remove(index_name)
             total_bytes -= sizes[name]
             removed.append(name)
         if removed:
