--- a/spanwing/journal/table.py
+++ b/spanwing/journal/table.py
@@ -1,7 +1,6 @@
-"""The journal as a table: one row for each attempt, or for a request that has none.
+"""The journal as a table, for the command line: one row per attempt, or one for a request without attempts.
 
-The state of every row is `not sent`, `possibly sent` or `sent`; times are wall-clock ms, None if unknown. The
-fields are those that a filter names (query.py).
+A request whose attempts were all not sent, but which may lack records of others, has one more row for itself.
 """
 
 from __future__ import annotations
@@ -15,40 +14,45 @@
 
 
 class AttemptRow(NamedTuple):
-    """What is known of one attempt."""
+    """What is known of one attempt, or of a request; times are wall-clock ms, None if unknown.
+
+    The filter language (query.py) and the output of the command line use the names of these fields, with
+    `class` for cls.
+    """
 
     request: str
     cls: str
     tenant: str
     key: str
     front: str
-    attempt: int | None
+    attempt: int | None  # None in the row of a request
     worker: str
     address: str
-    state: str
-    time: float | None  # when the request was accepted; the attempt's intent if that is not known
+    state: str  # "not sent", "possibly sent" or "sent"
+    time: float | None  # when the request was accepted, or if that is unknown the attempt's intent
     intent: float | None
     last_byte: float | None
-    given_up: str
+    given_up: str  # why the scheduler stopped waiting for the attempt; empty if it did not
     result: str
     answer: str
     answered: float | None
-    closed: bool  # a later incarnation found it open
+    closed: bool  # a later incarnation found the attempt or request without an end
 
 
 def attempt_rows(request: JournalRequest) -> Iterator[AttemptRow]:
-    """Yields a request's rows, in the order of its attempts."""
-    attempts = sorted(request.attempts.values(), key=lambda each: each.number)
+    """Yields the rows of a request, in the order of its attempts."""
+    attempts = sorted(request.attempts.values(), key=lambda attempt: attempt.number)
     for attempt in attempts:
         yield _build_row(request, attempt)
     if not attempts or (
         request.delivery_state == "possibly sent"
-        and all(each.delivery_state == "not sent" for each in attempts)
+        and all(attempt.delivery_state == "not sent" for attempt in attempts)
     ):
-        yield _build_row(request, None)  # what is known of the request itself
+        yield _build_row(request, None)
 
 
 def _build_row(request: JournalRequest, attempt: JournalAttempt | None) -> AttemptRow:
+    """Returns the row of an attempt, or with None the row of the request itself."""
     accepted = request.accepted
     intent = attempt.intent_ms if attempt else None
     result = RECORDS_MISSING if request.is_incomplete else ""
