--- a/spanwing/journal/repair.py
+++ b/spanwing/journal/repair.py
@@ -1,8 +1,7 @@
-"""Repairs a damaged folder, without losing a complete record and without hiding what is lost.
+"""Repairs a damaged folder: keeps every complete record, and the damaged bytes for inspection.
 
-Nothing is changed unless this process holds the folder's lock. A damaged segment keeps its bytes under
-another name (`.damaged`), and a copy of its complete records atomically takes its place. Steps are reported
-before they are taken, and a dry run takes none.
+A damaged segment is renamed to end in `.damaged`, and a copy of its complete records is put in its place. The
+caller holds the folder's lock, reports each step before it applies it, and applies none in a dry run.
 """
 
 from __future__ import annotations
@@ -31,15 +30,15 @@
 
 
 class RepairStep(NamedTuple):
-    """One step of the repair, and its reason."""
+    """What to do with one file, and why."""
 
     file_name: str
-    action: str  # remove, rewrite, or leave
+    action: str  # "remove", "rewrite" or "leave"
     reason: str
 
 
 def plan_repair(files: FolderFiles) -> Iterator[RepairStep]:
-    """Yields the steps that the folder needs."""
+    """Yields the steps that the folder needs; reads all its segments and changes nothing."""
     names = files.names()
     for name in names:
         if name.endswith(PARTIAL_SUFFIX):
@@ -64,21 +63,21 @@
                 yield RepairStep(name, "rewrite", f"{error}")
             continue
         is_compacted = bool(header.flags & COMPACTED_FLAG)
-        damaged = [
-            each
-            for each in read_frames(data, header.first_number, HEADER_SIZE, is_compacted)
-            if isinstance(each, DamagedBytes)
+        damaged_ranges = [
+            item
+            for item in read_frames(data, header.first_number, HEADER_SIZE, is_compacted)
+            if isinstance(item, DamagedBytes)
         ]
-        torn = [each for each in damaged if each.reason.startswith("torn tail")]
-        if len(damaged) > len(torn):
-            yield RepairStep(name, "rewrite", "; ".join(each.reason for each in damaged))
-        elif torn:
-            reason = f"{torn[0].reason}: a crash leaves that, and nothing of it was acknowledged"
+        torn_tails = [damage for damage in damaged_ranges if damage.reason.startswith("torn tail")]
+        if len(damaged_ranges) > len(torn_tails):
+            yield RepairStep(name, "rewrite", "; ".join(damage.reason for damage in damaged_ranges))
+        elif torn_tails:
+            reason = f"{torn_tails[0].reason}: a crash leaves that, and nothing of it was acknowledged"
             yield RepairStep(name, "leave", reason)
 
 
 def apply_step(files: FolderFiles, step: RepairStep) -> None:
-    """Carries one step out. Raises OSError."""
+    """Applies one step and syncs the folder. Raises OSError."""
     if step.action == "remove":
         files.remove(step.file_name)
     elif step.action == "rewrite":
@@ -87,6 +86,12 @@
 
 
 def _rewrite(files: FolderFiles, name: str) -> None:
+    """Renames a segment to end in DAMAGED_SUFFIX and puts a copy of its complete records in its place.
+
+    If the header is unusable, the new one has the first number that the segment's name states. After a crash
+    between the two renames the segment exists only under its DAMAGED_SUFFIX name, and a new plan_repair()
+    does not restore it.
+    """
     data = files.read(name)
     first_number = number_in_name(name) or 0
     try:
@@ -104,9 +109,9 @@
                 )
             ),
         )
-        for each in read_frames(data, header.first_number, HEADER_SIZE, True):
-            if isinstance(each, RecordFrame):
-                files.append(partial_name, encode_frame(each.number, encode_record(each.record)))
+        for item in read_frames(data, header.first_number, HEADER_SIZE, True):
+            if isinstance(item, RecordFrame):
+                files.append(partial_name, encode_frame(item.number, encode_record(item.record)))
         files.sync(partial_name)
     finally:
         files.close(partial_name)
--- a/spanwing/journal/snapshot.py
+++ b/spanwing/journal/snapshot.py
@@ -1,7 +1,7 @@
-"""A snapshot of the open requests at one record number, so that a start reads the log only from there on.
+"""Snapshots of the request states after one record, so that a restart reads the log only from there on.
 
-A snapshot is used only if it is complete (a checksum covers all of it). It is never needed, as the log alone
-gives the same; one of another version is skipped.
+A snapshot is used only if its checksum, which covers all of it, is right. Damaged snapshots and those of
+another version are skipped: they only save time, as the log alone gives the same states.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from spanwing.journal.request_states import InterruptedRequest, JournalAttempt, JournalRequest, RequestStates
 
 MAGIC, VERSION = b"SPWJSNAP", 2
-HEADER_STRUCT = struct.Struct("!8sHQI")
+HEADER_STRUCT = struct.Struct("!8sHQI")  # magic, version, last record number, checksum of number and body
 
 
 class AttemptSnapshot(msgspec.Struct, array_like=True):
-    """A JournalAttempt, as it is stored."""
+    """The stored form of a JournalAttempt; its fields have the same names and order."""
 
     number: int
     worker: str
@@ -33,7 +33,7 @@
 
 
 class RequestSnapshot(msgspec.Struct, array_like=True):
-    """A JournalRequest, as it is stored."""
+    """The stored form of a JournalRequest."""
 
     id: str
     first_number: int
@@ -46,22 +46,22 @@
 
 
 def encode_snapshot(states: RequestStates, last_number: int) -> bytes:
-    """Encodes what is open after record last_number."""
+    """Returns the snapshot of the states after the record with this number."""
     requests = [
         RequestSnapshot(
-            each.id,
-            each.first_number,
-            each.accepted,
-            each.answer,
-            each.answered_ms,
-            each.is_interrupted,
+            request.id,
+            request.first_number,
+            request.accepted,
+            request.answer,
+            request.answered_ms,
+            request.is_interrupted,
             [
                 AttemptSnapshot(*(getattr(attempt, name) for name in AttemptSnapshot.__struct_fields__))
-                for attempt in each.attempts.values()
+                for attempt in request.attempts.values()
             ],
-            each.may_lack_attempts,
+            request.may_lack_attempts,
         )
-        for each in states.open_requests.values()
+        for request in states.open_requests.values()
     ]
     body = msgspec.msgpack.encode((requests, list(states.interrupted.items()), states.has_every_intent))
     return (
@@ -73,7 +73,10 @@
 
 
 def decode_snapshot(data: bytes) -> tuple[RequestStates, int]:
-    """Returns the request states and the last record's number. Raises ValueError if it cannot be used."""
+    """Returns the request states and the number of the last record that they include.
+
+    Raises ValueError if the snapshot is damaged or of another version.
+    """
     try:
         magic, version, last_number, checksum = HEADER_STRUCT.unpack_from(data)
     except struct.error:
@@ -85,18 +88,20 @@
         raise ValueError("damaged")
     states = RequestStates()
     body_type = tuple[list[RequestSnapshot], list[tuple[str, InterruptedRequest]], bool]
-    kept, interrupted, states.has_every_intent = msgspec.msgpack.decode(body, type=body_type)
+    requests, interrupted, states.has_every_intent = msgspec.msgpack.decode(body, type=body_type)
     states.interrupted.update(interrupted)
-    for each in kept:
-        attempts = {kept.number: JournalAttempt(*msgspec.structs.astuple(kept)) for kept in each.attempts}
-        states.open_requests[each.id] = JournalRequest(
-            each.id,
-            each.first_number,
-            each.accepted,
-            each.answer,
-            each.answered_ms,
-            each.is_interrupted,
-            each.may_lack_attempts,
+    for request in requests:
+        attempts = {
+            attempt.number: JournalAttempt(*msgspec.structs.astuple(attempt)) for attempt in request.attempts
+        }
+        states.open_requests[request.id] = JournalRequest(
+            request.id,
+            request.first_number,
+            request.accepted,
+            request.answer,
+            request.answered_ms,
+            request.is_interrupted,
+            request.may_lack_attempts,
             attempts,
         )
     return states, last_number
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -285,7 +285,7 @@
 
     def thin(self, disk: SimDisk, log: SegmentLog, now_ms: float = 1e6) -> None:
         thinner = SegmentCompactor(disk, self.BOUNDS)
-        thinner.remove_leftovers()
+        thinner.remove_partial_files()
         for _ in thinner.compact(log.request_states.oldest_needed_number(), now_ms):
             pass
 
