--- a/spanwing/journal/reader.py
+++ b/spanwing/journal/reader.py
@@ -1,8 +1,8 @@
-"""Reads a journal's folder for the command line: beside a running daemon or after its end, without a lock.
+"""Reads a journal's folder for the command line, without a lock: while the daemon runs or after it has ended.
 
-It never writes to a segment and never blocks the daemon. A segment that is being written is read as far as it
-is complete, and a torn tail there is no damage. Memory: one segment's index at a time, the requested names,
-and the requests that are not settled.
+The reader writes no file except indexes and never blocks the daemon. A segment that is still being written is
+read up to its last complete frame; the torn tail after it is harmless. Memory: the index of one segment at a
+time, the requested ids and the open requests.
 """
 
 from __future__ import annotations
@@ -29,21 +29,21 @@
 from spanwing.journal.segment_log import SegmentReader, number_in_name
 from spanwing.journal.table import AttemptRow, attempt_rows
 
-MAX_CLOCK_STEP_MS = 3_600_000.0  # the largest step back of a clock that is allowed for
-MAX_REQUEST_MS = 3_600_000.0  # the longest time that a frontend lets a client wait
+MAX_CLOCK_STEP_MS = 3_600_000.0  # the largest step of the wall clock that queries by worker allow for
+MAX_REQUEST_MS = 3_600_000.0  # the longest time that a front end lets a client wait
 
 
 @dataclass
 class VerifyFinding:
     """Damage in a segment, and whether it is harmless."""
 
-    segment: str
+    segment: str  # name of its file
     damage: DamagedBytes
-    is_harmless: bool  # a crash may leave it: no acknowledged record is missing
+    is_harmless: bool  # as a crash may leave it, without the loss of an acknowledged record
 
 
 class JournalReader:
-    """Reads one folder. Raises FileNotFoundError if there is none."""
+    """Reads the journal in one folder. Raises FileNotFoundError if there is no such folder."""
 
     def __init__(self, path: str) -> None:
         self.path = Path(path)
@@ -52,41 +52,42 @@
         self.segment_reader = SegmentReader(LocalFolder(path, for_writing=False))
 
     def read_frames(self, after_number: int = 0) -> Iterator[tuple[str, RecordFrame | DamagedBytes]]:
-        """Yields the complete records with a number above after_number, and the damage, by segment."""
+        """Yields the complete frames with a number above after_number, and the damage, by segment name."""
         return self.segment_reader.read_all(after_number)
 
     def read_requests(self) -> Iterator[JournalRequest]:
-        """Yields each request once it is settled, and at the end those that are not."""
+        """Yields all requests: each settled one after the record that settles it, then the open ones."""
         states = RequestStates()
-        for _, each in self.read_frames():
-            if isinstance(each, RecordFrame):
-                settled = states.apply(each.number, each.record)
-                if settled is not None:
-                    yield settled
+        for _, item in self.read_frames():
+            if isinstance(item, RecordFrame):
+                settled_request = states.apply(item.number, item.record)
+                if settled_request is not None:
+                    yield settled_request
         yield from states.open_requests.values()
 
     def find_rows(self, plan: QueryPlan) -> Iterator[AttemptRow]:
-        """Yields the rows that match; by the indexes if the plan names requests or workers."""
+        """Yields the rows that match a plan. Uses the indexes if the plan names requests or workers."""
         if plan.request_ids is not None:
-            chosen = self.find_requests(plan.request_ids)
+            requests = self.find_requests(plan.request_ids)
         elif plan.workers is not None:
-            chosen = self.find_requests(self._request_ids_of_workers(plan))
+            requests = self.find_requests(self._request_ids_of_workers(plan))
         else:
-            chosen = self.read_requests()
-        for request in chosen:
+            requests = self.read_requests()
+        for request in requests:
             yield from (row for row in attempt_rows(request) if plan.matches(row))
 
     def find_request(self, request_id: str) -> JournalRequest | None:
-        """Returns all that is known of one request; None if the journal has no record of it."""
-        return max(self.find_requests({request_id}), key=lambda each: each.first_number, default=None)
+        """Returns the latest request with this id; None if the journal has no record of one."""
+        return max(self.find_requests({request_id}), key=lambda request: request.first_number, default=None)
 
     def find_requests(self, request_ids: Collection[str]) -> Iterator[JournalRequest]:
-        """Yields all that is known of these requests.
+        """Yields the requests with these ids, in one pass over the indexes.
 
-        One pass over the indexes; no record of any other request is read, but for a collision of hashes.
+        Records of other requests are read only if their id has the same hash as one of these.
         """
+        # Process starts and gaps, which have an empty request id, are read too: after them, records of a
+        # request may be missing.
         states, request_hashes = RequestStates(), indexes.hash_names({"", *request_ids})
-        # Process starts and gaps (the empty name) are read too, as they can make requests doubtful.
         for segment in self.segment_reader.segment_names():
             data, header = self._map_segment(segment)
             if header is None:
@@ -96,16 +97,17 @@
                 if isinstance(frame, RecordFrame) and (
                     not frame.record.request or frame.record.request in request_ids
                 ):
-                    settled = states.apply(frame.number, frame.record)
-                    if settled is not None:
-                        yield settled
+                    settled_request = states.apply(frame.number, frame.record)
+                    if settled_request is not None:
+                        yield settled_request
         yield from states.open_requests.values()
 
     def _request_ids_of_workers(self, plan: QueryPlan) -> set[str]:
-        """Returns the requests that had an intent for one of the workers.
+        """Returns the ids of the requests that have an intent for one of the plan's workers.
 
-        A request's time is that of its acceptance: its intents follow within MAX_REQUEST_MS, give or take
-        MAX_CLOCK_STEP_MS.
+        The plan's bounds are on the time of acceptance. The intents of a request follow that within
+        MAX_REQUEST_MS, and the wall clock may step by MAX_CLOCK_STEP_MS meanwhile, so the search is for
+        intents in a range widened by both.
         """
         request_ids: set[str] = set()
         for segment in self.segment_reader.segment_names():
@@ -125,51 +127,55 @@
         return request_ids
 
     def load_index(self, segment: str, data: mmap.mmap | bytes) -> indexes.SegmentIndex:
-        """Returns a segment's index, from its file or rebuilt.
+        """Returns a segment's index, read from its file or else rebuilt from the segment's data.
 
-        A rebuilt index is stored, if the folder can be written, unless the segment is the last one.
+        A rebuilt index is stored if the folder can be written. That of the last segment is not, as the
+        segment may still grow.
         """
         path = (self.path / segment).with_suffix(indexes.FILE_SUFFIX)
         try:
-            found = indexes.read_index(path, len(data))
+            index = indexes.read_index(path, len(data))
         except (OSError, ValueError):
-            found = indexes.build_index(data)
+            index = indexes.build_index(data)
             if segment != self.segment_reader.segment_names()[-1]:
-                with suppress(OSError):  # a folder that may only be read
-                    indexes.write_index(found, path)
-        return found
+                with suppress(OSError):  # the folder may be read-only
+                    indexes.write_index(index, path)
+        return index
 
     def _map_segment(self, segment: str) -> tuple[mmap.mmap | bytes, SegmentHeader | None]:
-        """Maps a segment, so that only the pages that are used come into memory."""
+        """Maps a segment into memory and returns its data and header; no data and None if that fails.
+
+        Only the pages that are used are read from disk.
+        """
         try:
             with open(self.path / segment, "rb") as file:
                 data = mmap.mmap(file.fileno(), 0, access=mmap.ACCESS_READ)
             return data, decode_header(data)
-        except (OSError, ValueError):  # removed, empty or unusable
+        except (OSError, ValueError):  # the file was removed, is empty or has an unusable header
             return b"", None
 
     def verify(self) -> Iterator[VerifyFinding]:
-        """Yields all damage, in order."""
-        for segment, each in self.read_frames():
-            if isinstance(each, DamagedBytes):
-                yield VerifyFinding(segment, each, self.is_harmless(each))
+        """Reads all segments and yields the damage in them, in order."""
+        for segment, item in self.read_frames():
+            if isinstance(item, DamagedBytes):
+                yield VerifyFinding(segment, item, self.is_harmless(item))
 
     @staticmethod
     def is_harmless(damage: DamagedBytes) -> bool:
-        """Returns whether a crash may have left the damage.
+        """Returns whether a crash can have left the damage without the loss of an acknowledged record.
 
-        A torn tail was never acknowledged; acknowledged records that are missing show as damage of their own,
-        by the header of the next segment.
+        Records in a torn tail were not acknowledged: if acknowledged records were lost with it, the header of
+        the next segment shows them as missing, which is damage of its own.
         """
         return damage.missing_numbers == 0 and (
             damage.reason.startswith("torn tail") or damage.offset + damage.size <= HEADER_SIZE
         )
 
     def read_gaps(self) -> Iterator[JournalGap]:
-        """Yields the gaps that the journal records."""
-        for _, each in self.read_frames():
-            if isinstance(each, RecordFrame) and isinstance(each.record, JournalGap):
-                yield each.record
+        """Yields the JournalGap records, in order."""
+        for _, item in self.read_frames():
+            if isinstance(item, RecordFrame) and isinstance(item.record, JournalGap):
+                yield item.record
 
     def segment_sizes(self) -> list[tuple[str, int, int]]:
         """Returns each segment's name, first number and size in bytes."""
