--- a/spanwing/journal/query.py
+++ b/spanwing/journal/query.py
@@ -4,8 +4,9 @@
     state = "possibly sent" and not tenant ~ corrib*
     time >= 2026-12-01T06:00 and time < 2026-12-01T09:30 and attempt > 0
 
-Pure. An expression either parses completely or raises QueryError with the column of the first error. The
-bounds of a QueryPlan are never narrower than the expression, so skipping files by them leaves nothing out.
+This module does no I/O. An expression that does not parse completely raises QueryError with the column of the
+first error. The bounds of a QueryPlan are never narrower than its expression, so a search that is limited to
+them misses no matching row.
 """
 
 from __future__ import annotations
@@ -25,14 +26,14 @@
 from spanwing.journal.table import AttemptRow
 
 GRAMMAR = r"""
-?start: any
-?any: all (_OR all)*
-?all: one (_AND one)*
-?one: _NOT one -> no
-    | "(" any ")"
-    | FIELD OP value -> test
-    | FIELD _IN "(" value ("," value)* ")" -> among
-    | FIELD _NOT _IN "(" value ("," value)* ")" -> not_among
+?start: disjunction
+?disjunction: conjunction (_OR conjunction)*
+?conjunction: condition (_AND condition)*
+?condition: _NOT condition -> negation
+    | "(" disjunction ")"
+    | FIELD OP value -> comparison
+    | FIELD _IN "(" value ("," value)* ")" -> membership
+    | FIELD _NOT _IN "(" value ("," value)* ")" -> non_membership
 ?value: STRING | WORD
 _OR.3: /or\b/i
 _AND.3: /and\b/i
@@ -44,6 +45,7 @@
 WORD: /[^\s(),"'=<>!~]+/
 %ignore /\s+/
 """
+# The fields of the language, by type, and the AttemptRow field of each.
 TEXT_FIELDS = {
     "request": "request",
     "class": "cls",
@@ -69,14 +71,14 @@
     ">": operator.gt,
     ">=": operator.ge,
 }
-UNIT_MS = {"ms": 1.0, "s": 1e3, "m": 60e3, "h": 3600e3, "d": 86400e3}
+MS_BY_UNIT = {"ms": 1.0, "s": 1e3, "m": 60e3, "h": 3600e3, "d": 86400e3}
 MAX_EXPRESSION_CHARS = 4096
 
 RowPredicate = Callable[[AttemptRow], bool]
 
 
 class QueryError(ValueError):
-    """An error in an expression, with its column."""
+    """An error in an expression; column counts from 1."""
 
     def __init__(self, text: str, column: int) -> None:
         super().__init__(f"column {column}: {text}")
@@ -85,35 +87,39 @@
 
 @dataclass
 class QueryPlan:
-    """A filter, and bounds on where matching rows can be."""
+    """A filter of rows, and bounds that every matching row is within.
+
+    The bounds limit a search; a row within them may still not match.
+    """
 
     matches: RowPredicate
-    after_ms: float = float("-inf")  # the times of matching rows lie between these
-    before_ms: float = float("inf")
-    request_ids: frozenset[str] | None = None  # only these ids can match; None: any
-    workers: frozenset[str] | None = None
+    after_ms: float = float("-inf")  # lower bound of the row's time, wall-clock ms
+    before_ms: float = float("inf")  # upper bound
+    request_ids: frozenset[str] | None = None  # None: any
+    workers: frozenset[str] | None = None  # None: any
 
 
 @dataclass
 class _QueryNode:
-    """A part of an expression: its test and its bounds."""
+    """The filter and the bounds of a part of an expression, as in a QueryPlan."""
 
     matches: RowPredicate
     after_ms: float = float("-inf")
     before_ms: float = float("inf")
+    # By text field: a matching row has one of these values.
     required_values: dict[str, frozenset[str]] = field(default_factory=dict)
 
 
 def parse_time(text: str, now_ms: float) -> float:
-    """Returns a time in wall-clock ms.
+    """Returns the time that a text states, in wall-clock ms.
 
-    Accepts ISO 8601 (local time without a zone), `now`, or a time relative to now such as -90s, -15m, -2h,
-    -1d. Raises ValueError.
+    Accepts ISO 8601 (local time if it has no zone), `now`, and times relative to now such as -90s, -15m, -2h
+    or -1d. Raises ValueError for any other text.
     """
     if text == "now":
         return now_ms
     if match := re.fullmatch(r"([-+])(\d+(?:\.\d+)?)(ms|s|m|h|d)", text):
-        amount = float(match[2]) * UNIT_MS[match[3]]
+        amount = float(match[2]) * MS_BY_UNIT[match[3]]
         return now_ms + (amount if match[1] == "+" else -amount)
     try:
         return datetime.fromisoformat(text).timestamp() * 1000.0
@@ -122,23 +128,26 @@
 
 
 def _unquote(token: Token) -> str:
+    """Returns the token's text, a string without its quotes."""
     return token[1:-1] if token.type == "STRING" else str(token)
 
 
 class _PlanBuilder(Transformer):
-    """Builds the test and its bounds from the parse tree."""
+    """Builds a _QueryNode from the parse tree; lark calls the method of each grammar rule's name."""
 
     def __init__(self, now_ms: float) -> None:
         super().__init__()
         self.now_ms = now_ms
 
     def _row_field(self, name: Token) -> str:
-        for names in (TEXT_FIELDS, NUMBER_FIELDS, TIME_FIELDS, FLAG_FIELDS):
-            if name in names:
-                return names[name]
+        """Returns the AttemptRow field of a field name. Raises QueryError if there is none."""
+        for row_field_by_name in (TEXT_FIELDS, NUMBER_FIELDS, TIME_FIELDS, FLAG_FIELDS):
+            if name in row_field_by_name:
+                return row_field_by_name[name]
         raise QueryError(f"unknown field {str(name)!r}, known are {', '.join(FIELDS)}", name.column)
 
     def _parse_value(self, name: Token, value: Token) -> Any:
+        """Returns a value in the type of its field. Raises QueryError if it has another type."""
         text = _unquote(value)
         try:
             if name in NUMBER_FIELDS:
@@ -146,82 +155,96 @@
             if name in TIME_FIELDS:
                 return parse_time(text, self.now_ms)
         except ValueError as error:
-            fault = str(error) if name in TIME_FIELDS else f"{text!r} is no number"
-            raise QueryError(fault, value.column) from None
+            message = str(error) if name in TIME_FIELDS else f"{text!r} is no number"
+            raise QueryError(message, value.column) from None
         if name in FLAG_FIELDS:
             if text not in ("true", "false"):
                 raise QueryError(f"{name!s} is true or false", value.column)
             return text == "true"
         return text
 
-    def test(self, parts: list[Token]) -> _QueryNode:
-        name, order, raw = parts
+    def comparison(self, tokens: list[Token]) -> _QueryNode:
+        """Builds FIELD OP value."""
+        name, comparator, value_token = tokens
         row_field = self._row_field(name)
-        if order == "~" and name not in TEXT_FIELDS:
-            raise QueryError("~ compares text with a pattern of * and ?", order.column)
-        value = self._parse_value(name, raw)
-        if order == "~":
+        if comparator == "~" and name not in TEXT_FIELDS:
+            raise QueryError("~ compares text with a pattern of * and ?", comparator.column)
+        value = self._parse_value(name, value_token)
+        if comparator == "~":
             pattern = re.compile(fnmatch.translate(value))
             return _QueryNode(lambda row: pattern.fullmatch(getattr(row, row_field)) is not None)
-        if name in (*TEXT_FIELDS, *FLAG_FIELDS) and order not in ("=", "!="):
-            raise QueryError(f"{name!s} has no order: = and != are possible, and ~ for text", order.column)
-        compare = COMPARISONS[order]
+        if name in (*TEXT_FIELDS, *FLAG_FIELDS) and comparator not in ("=", "!="):
+            raise QueryError(
+                f"{name!s} has no order: = and != are possible, and ~ for text", comparator.column
+            )
+        compare = COMPARISONS[comparator]
 
         def matches_row(row: AttemptRow) -> bool:
-            there = getattr(row, row_field)
-            # An unknown value is neither before nor after any other, nor equal to it.
-            return compare(there, value) if there is not None else order == "!="
+            row_value = getattr(row, row_field)
+            # An unknown value is not equal to, before or after any value.
+            return compare(row_value, value) if row_value is not None else comparator == "!="
 
         node = _QueryNode(matches_row)
-        if order == "=" and name in TEXT_FIELDS:
+        if comparator == "=" and name in TEXT_FIELDS:
             node.required_values[name] = frozenset((value,))
         if name == "time":
-            node.after_ms = value if order in (">", ">=", "=") else node.after_ms
-            node.before_ms = value if order in ("<", "<=", "=") else node.before_ms
+            node.after_ms = value if comparator in (">", ">=", "=") else node.after_ms
+            node.before_ms = value if comparator in ("<", "<=", "=") else node.before_ms
         return node
 
-    def among(self, parts: list[Token]) -> _QueryNode:
-        name, *raws = parts
-        row_field, values = self._row_field(name), frozenset(self._parse_value(name, raw) for raw in raws)
+    def membership(self, tokens: list[Token]) -> _QueryNode:
+        """Builds FIELD in (values)."""
+        name, *value_tokens = tokens
+        row_field, values = (
+            self._row_field(name),
+            frozenset(self._parse_value(name, value_token) for value_token in value_tokens),
+        )
         node = _QueryNode(lambda row: getattr(row, row_field) in values)
         if name in TEXT_FIELDS:
             node.required_values[name] = values
         return node
 
-    def not_among(self, parts: list[Token]) -> _QueryNode:
-        inner = self.among(parts).matches
-        return _QueryNode(lambda row: not inner(row))
-
-    def no(self, parts: list[_QueryNode]) -> _QueryNode:
-        inner = parts[0].matches
-        return _QueryNode(lambda row: not inner(row))
-
-    def all(self, parts: list[_QueryNode]) -> _QueryNode:
-        tests = [each.matches for each in parts]
-        node = _QueryNode(
-            lambda row: all(each(row) for each in tests),
-            max(each.after_ms for each in parts),
-            min(each.before_ms for each in parts),
+    def non_membership(self, tokens: list[Token]) -> _QueryNode:
+        """Builds FIELD not in (values); it has no bounds."""
+        is_member = self.membership(tokens).matches
+        return _QueryNode(lambda row: not is_member(row))
+
+    def negation(self, nodes: list[_QueryNode]) -> _QueryNode:
+        """Builds not node; it has no bounds, as those of the node do not hold for its negation."""
+        inner_matches = nodes[0].matches
+        return _QueryNode(lambda row: not inner_matches(row))
+
+    def conjunction(self, nodes: list[_QueryNode]) -> _QueryNode:
+        """Builds node and node ...; its bounds are the intersection of those of the nodes."""
+        predicates = [node.matches for node in nodes]
+        combined = _QueryNode(
+            lambda row: all(matches(row) for matches in predicates),
+            max(node.after_ms for node in nodes),
+            min(node.before_ms for node in nodes),
         )
-        for each in parts:
-            for name, values in each.required_values.items():
-                node.required_values[name] = node.required_values.get(name, values) & values
-        return node
-
-    def any(self, parts: list[_QueryNode]) -> _QueryNode:
-        tests = [each.matches for each in parts]
-        node = _QueryNode(
-            lambda row: any(each(row) for each in tests),
-            min(each.after_ms for each in parts),
-            max(each.before_ms for each in parts),
+        for node in nodes:
+            for name, values in node.required_values.items():
+                combined.required_values[name] = combined.required_values.get(name, values) & values
+        return combined
+
+    def disjunction(self, nodes: list[_QueryNode]) -> _QueryNode:
+        """Builds node or node ...; its bounds contain those of the nodes."""
+        predicates = [node.matches for node in nodes]
+        combined = _QueryNode(
+            lambda row: any(matches(row) for matches in predicates),
+            min(node.after_ms for node in nodes),
+            max(node.before_ms for node in nodes),
         )
-        for name in set.intersection(*(set(each.required_values) for each in parts)):
-            node.required_values[name] = frozenset().union(*(each.required_values[name] for each in parts))
-        return node
+        for name in set.intersection(*(set(node.required_values) for node in nodes)):
+            combined.required_values[name] = frozenset().union(
+                *(node.required_values[name] for node in nodes)
+            )
+        return combined
 
 
 @cache
 def _parser() -> Lark:
+    """Returns the parser, built on first use."""
     return Lark(GRAMMAR, parser="lalr", maybe_placeholders=False)
 
 
