--- a/tests/test_journal_core.py
+++ b/tests/test_journal_core.py
@@ -1,5 +1,8 @@
-"""The core with a journal: nothing is handed to a next hop before its intent is on disk, whatever the disk
-does; and daemons killed at their system calls."""
+"""Tests of the request manager with a journal, and of daemons killed at their system calls.
+
+No attempt of a non-idempotent request may be forwarded before its intent is on disk, whether the disk is
+slow, full or failing.
+"""
 
 from __future__ import annotations
 
@@ -37,12 +40,12 @@
 from spanwing.journal.writer import JournalWriter
 from spanwing.workers.faktory_worker import FaktoryWorker, FetchRequested, JobFinished
 
-PATIENCE_S = 20.0
-CLS = "bill"  # unsafe
+MAX_WAIT_S = 20.0
+CLS = "bill"  # a class of non-idempotent requests
 
 
 class GatedDisk(SimDisk):
-    """A disk whose syncs end only while the gate is open."""
+    """A disk whose syncs block while the gate is closed."""
 
     def __init__(self) -> None:
         super().__init__(1)
@@ -50,38 +53,38 @@
         self.gate.set()
 
     def sync(self, name: str) -> None:
-        assert self.gate.wait(PATIENCE_S)
+        assert self.gate.wait(MAX_WAIT_S)
         super().sync(name)
 
 
-class Hop:
-    """A next hop that keeps what it is handed, with whether the journal had the intent by then."""
+class RecordingWorker:
+    """A worker connection that keeps its attempts and counts those whose intent was not on disk yet."""
 
     name, address, records_intent_itself = "w1", "127.0.0.1:9", False
 
     def __init__(self, disk: SimDisk) -> None:
-        self.disk, self.got, self.early = disk, [], 0
-        self.intents: set[tuple[str, int]] = set()
+        self.disk, self.delivered, self.without_intent = disk, [], 0
+        self.durable_intents: set[tuple[str, int]] = set()
 
     def deliver(self, delivery: DeliveryAttempt, listener: RequestManager) -> None:
         key = (delivery.request.id, delivery.number)
-        self.got.append(key)
-        if key not in self.intents:
-            self.intents |= {
-                (each.record.request, each.record.attempt)
-                for _, each in SegmentReader(Synced(self.disk)).read_all()
-                if isinstance(each, RecordFrame) and isinstance(each.record, AttemptIntent)
+        self.delivered.append(key)
+        if key not in self.durable_intents:
+            self.durable_intents |= {
+                (item.record.request, item.record.attempt)
+                for _, item in SegmentReader(SyncedFiles(self.disk)).read_all()
+                if isinstance(item, RecordFrame) and isinstance(item.record, AttemptIntent)
             }
-        self.early += key not in self.intents
+        self.without_intent += key not in self.durable_intents
         listener.post(LastByteSent(*key))
         listener.post(AttemptEnded(*key, "ok", b"done"))
 
     def cancel(self, request: str, number: int, result: api.Result) -> None:
-        raise AssertionError("it was never handed anything that lasts")
+        raise AssertionError("cancel() was called, though every attempt ends in deliver()")
 
 
-class Synced:
-    """What a disk would show after a power loss that takes all that was not synced."""
+class SyncedFiles:
+    """The files that a disk has after a power loss which loses everything that was not synced."""
 
     def __init__(self, disk: SimDisk) -> None:
         self.files = {name: disk.contents.get(name, b"") for name in disk.synced}
@@ -93,8 +96,8 @@
         return self.files[name] if max_bytes < 0 else self.files[name][:max_bytes]
 
 
-class Sender:
-    """Keeps answers and when they came."""
+class RecordingClient:
+    """Keeps the answer to each request and the monotonic time when it came; fails on a second answer."""
 
     def __init__(self) -> None:
         self.answers: dict[str, tuple[FinalAnswer, float]] = {}
@@ -104,313 +107,325 @@
         self.answers[request.id] = answer, time.monotonic()
 
 
-class CoreWithJournal(AsyncTestCase):
-    def begin(self, policy: str = "refuse", wait_s: float = 10.0, **changes) -> None:
-        self.disk, self.sender = GatedDisk(), Sender()
-        self.core = RequestManager(settings(max_retry_after=2000.0, **changes), 1, Clock())
-        self.hop = Hop(self.disk)
-        self.core.post(EndpointsChanged(api.WorkerList("complete", (api.Worker(1),)), {1: self.hop}))
-        self.keeper = JournalWriter(
+class RequestManagerJournalTest(AsyncTestCase):
+    def start(self, failure_policy: str = "refuse", intent_timeout_s: float = 10.0, **changes) -> None:
+        """Starts a request manager with one worker and a journal on a gated disk; changes: settings."""
+        self.disk, self.client = GatedDisk(), RecordingClient()
+        self.manager = RequestManager(settings(max_retry_after=2000.0, **changes), 1, Clock())
+        self.worker = RecordingWorker(self.disk)
+        self.manager.post(EndpointsChanged(api.WorkerList("complete", (api.Worker(1),)), {1: self.worker}))
+        self.journal = JournalWriter(
             SegmentLog(self.disk, RetentionLimits()),
-            policy,
+            failure_policy,
             "test",
             self.io_loop.add_callback,
-            wait_s,
+            intent_timeout_s,
             self.io_loop.call_later,
             self.io_loop.remove_timeout,
         )
-        self.core.recorder = self.keeper
-        self.addCleanup(self.end)
+        self.manager.recorder = self.journal
+        self.addCleanup(self.close_journal)
 
-    def end(self) -> None:
+    def close_journal(self) -> None:
         self.disk.gate.set()
-        self.keeper.close()
+        self.journal.close()
 
-    def ask(self, name: str, cls: str = CLS, budget: float = 5000.0) -> None:
-        self.core.post(RequestSubmitted(JobRequest(name, cls, budget, front="test"), self.sender))
+    def submit(self, name: str, cls: str = CLS, budget_ms: float = 5000.0) -> None:
+        self.manager.post(RequestSubmitted(JobRequest(name, cls, budget_ms, front="test"), self.client))
 
-    async def until(self, holds) -> None:
-        end = time.monotonic() + PATIENCE_S
-        while not holds():
-            self.assertLess(time.monotonic(), end)
+    async def wait_until(self, condition) -> None:
+        deadline_s = time.monotonic() + MAX_WAIT_S
+        while not condition():
+            self.assertLess(time.monotonic(), deadline_s)
             await sleep(0.002)
 
-    def ledger(self) -> tuple[RequestStates, dict]:
-        """What a reader finds, open and settled."""
-        ledger, settled = RequestStates(), {}
-        for _, each in SegmentReader(self.disk).read_all():
-            request = ledger.apply(each.number, each.record) if isinstance(each, RecordFrame) else None
+    def read_states(self) -> tuple[RequestStates, dict]:
+        """Reads the journal; returns the states and the settled requests by id."""
+        states, settled = RequestStates(), {}
+        for _, item in SegmentReader(self.disk).read_all():
+            request = states.apply(item.number, item.record) if isinstance(item, RecordFrame) else None
             if request is not None:
                 settled[request.id] = request
-        return ledger, settled
+        return states, settled
 
     @gen_test(timeout=60)
-    async def test_nothing_is_handed_over_before_its_intent_is_on_disk(self) -> None:
-        self.begin()
+    async def test_attempt_is_delivered_only_once_its_intent_is_on_disk(self) -> None:
+        self.start()
         self.disk.gate.clear()
-        self.ask("job-1")
-        self.ask("look-1", "look")  # what may run twice waits for no disk
-        await self.until(lambda: "look-1" in self.sender.answers)
+        self.submit("job-1")
+        self.submit("look-1", "look")  # an idempotent request does not wait for the disk
+        await self.wait_until(lambda: "look-1" in self.client.answers)
         await sleep(0.05)
-        self.assertEqual(self.hop.got, [("look-1", 0)])
-        self.hop.early = 0
+        self.assertEqual(self.worker.delivered, [("look-1", 0)])
+        self.worker.without_intent = 0
         self.disk.gate.set()
-        await self.until(lambda: "job-1" in self.sender.answers)
-        self.assertEqual((self.hop.got[1:], self.hop.early), ([("job-1", 0)], 0))
-        self.assertTrue(self.keeper.close())
-        ledger, settled = self.ledger()
-        found = settled["job-1"]
-        self.assertEqual((found.delivery_state, found.answer, ledger.open_requests), ("sent", "served", {}))
-        self.assertEqual((found.attempts[0].worker, found.attempts[0].result), ("w1", "ok"))
+        await self.wait_until(lambda: "job-1" in self.client.answers)
+        self.assertEqual((self.worker.delivered[1:], self.worker.without_intent), ([("job-1", 0)], 0))
+        self.assertTrue(self.journal.close())
+        states, settled = self.read_states()
+        request = settled["job-1"]
+        self.assertEqual(
+            (request.delivery_state, request.answer, states.open_requests), ("sent", "served", {})
+        )
+        self.assertEqual((request.attempts[0].worker, request.attempts[0].result), ("w1", "ok"))
         self.assertNotIn("look-1", settled)
 
     @gen_test(timeout=60)
-    async def test_a_thousand_at_once(self) -> None:
-        self.begin()
+    async def test_concurrent_requests_share_syncs(self) -> None:
+        self.start()
         for number in range(1000):
-            self.ask(f"job-{number}", budget=15_000.0)
-        await self.until(lambda: len(self.sender.answers) == 1000)
-        kinds = Counter(answer.kind for answer, _ in self.sender.answers.values())
-        self.assertEqual(self.hop.early, 0)
-        self.assertEqual(len(self.hop.got), len(set(self.hop.got)))
-        self.assertEqual(kinds["served"], len(self.hop.got))
-        self.assertEqual(set(kinds) - {"refused"}, {"served"})
-        self.assertTrue(self.keeper.close())
-        _, settled = self.ledger()
+            self.submit(f"job-{number}", budget_ms=15_000.0)
+        await self.wait_until(lambda: len(self.client.answers) == 1000)
+        answer_kinds = Counter(answer.kind for answer, _ in self.client.answers.values())
+        self.assertEqual(self.worker.without_intent, 0)
+        self.assertEqual(len(self.worker.delivered), len(set(self.worker.delivered)))
+        self.assertEqual(answer_kinds["served"], len(self.worker.delivered))
+        self.assertEqual(set(answer_kinds) - {"refused"}, {"served"})
+        self.assertTrue(self.journal.close())
+        _, settled = self.read_states()
         self.assertEqual(
-            {name for name, each in settled.items() if each.delivery_state == "sent"},
-            {name for name, _ in self.hop.got},
+            {name for name, request in settled.items() if request.delivery_state == "sent"},
+            {name for name, _ in self.worker.delivered},
         )
-        self.assertLess(self.keeper.committer.syncs, len(self.hop.got))
+        self.assertLess(self.journal.committer.syncs, len(self.worker.delivered))
 
     @gen_test(timeout=60)
-    async def test_a_sync_that_lasts_refuses_at_once_or_serves_with_doubt(self) -> None:
-        for policy, kind, finding in (("refuse", "refused", "not sent"), ("serve", "served", "sent")):
-            self.begin(policy, wait_s=0.05)
+    async def test_slow_sync_rejects_or_serves_by_the_failure_policy(self) -> None:
+        for failure_policy, kind, expected_state in (
+            ("refuse", "refused", "not sent"),
+            ("serve", "served", "sent"),
+        ):
+            self.start(failure_policy, intent_timeout_s=0.05)
             self.disk.gate.clear()
-            self.ask("job-1")
-            await self.until(lambda: "job-1" in self.sender.answers)
-            self.assertEqual(self.sender.answers["job-1"][0].kind, kind)
-            self.ask("job-2")
-            begun = time.monotonic()
-            await self.until(lambda: "job-2" in self.sender.answers)
-            answer, at = self.sender.answers["job-2"]
+            self.submit("job-1")
+            await self.wait_until(lambda: "job-1" in self.client.answers)
+            self.assertEqual(self.client.answers["job-1"][0].kind, kind)
+            self.submit("job-2")
+            submitted_at_s = time.monotonic()
+            await self.wait_until(lambda: "job-2" in self.client.answers)
+            answer, answered_at_s = self.client.answers["job-2"]
             self.assertEqual((answer.kind, answer.retry_after_ms > 0), (kind, kind == "refused"))
-            if policy == "refuse":  # the disk is known to be slow: nothing waits for it again
-                self.assertNotIn("job-2", {name for name, _ in self.hop.got})
-                self.assertLess(at - begun, 5.0)
-                for number in range(3, 103):  # clients keep coming for as long as it lasts
-                    self.ask(f"job-{number}")
-                    self.ask(f"look-{number}", "look")
+            if failure_policy == "refuse":  # the disk is known to be slow: no request waits for it again
+                self.assertNotIn("job-2", {name for name, _ in self.worker.delivered})
+                self.assertLess(answered_at_s - submitted_at_s, 5.0)
+                for number in range(3, 103):  # more requests arrive while the sync still blocks
+                    self.submit(f"job-{number}")
+                    self.submit(f"look-{number}", "look")
                     if number % 10 == 0:
                         await sleep(0.05)
-                await self.until(lambda: len(self.sender.answers) == 202)
-                kinds = Counter(
-                    (name.split("-")[0], each.kind) for name, (each, _) in self.sender.answers.items()
+                await self.wait_until(lambda: len(self.client.answers) == 202)
+                answer_kinds = Counter(
+                    (name.split("-")[0], answer.kind) for name, (answer, _) in self.client.answers.items()
                 )
-                self.assertEqual((kinds["job", "refused"], kinds["look", "served"]), (102, 100))
-                self.assertTrue(all(name.startswith("look") for name, _ in self.hop.got))
+                self.assertEqual((answer_kinds["job", "refused"], answer_kinds["look", "served"]), (102, 100))
+                self.assertTrue(all(name.startswith("look") for name, _ in self.worker.delivered))
             self.disk.gate.set()
-            self.assertTrue(self.keeper.close())
-            ledger, settled = self.ledger()
-            found = settled.get("job-1") or ledger.open_requests["job-1"]
-            self.assertEqual(found.delivery_state, finding)
+            self.assertTrue(self.journal.close())
+            states, settled = self.read_states()
+            request = settled.get("job-1") or states.open_requests["job-1"]
+            self.assertEqual(request.delivery_state, expected_state)
 
     @gen_test(timeout=60)
-    async def test_a_name_of_any_length_fits_a_record(self) -> None:
-        self.begin()
-        long = "\N{SNOWMAN}" * 100_000
-        self.core.post(
-            RequestSubmitted(JobRequest("job-1", CLS, 5000.0, tenant=long, effect_key=long), self.sender)
+    async def test_long_names_are_truncated_to_fit_a_record(self) -> None:
+        self.start()
+        long_name = "\N{SNOWMAN}" * 100_000
+        self.manager.post(
+            RequestSubmitted(
+                JobRequest("job-1", CLS, 5000.0, tenant=long_name, effect_key=long_name), self.client
+            )
         )
-        self.ask("job-2")
-        await self.until(lambda: len(self.sender.answers) == 2)
-        self.assertEqual({answer.kind for answer, _ in self.sender.answers.values()}, {"served"})
-        self.assertTrue(self.keeper.close())
-        _, settled = self.ledger()
+        self.submit("job-2")
+        await self.wait_until(lambda: len(self.client.answers) == 2)
+        self.assertEqual({answer.kind for answer, _ in self.client.answers.values()}, {"served"})
+        self.assertTrue(self.journal.close())
+        _, settled = self.read_states()
         self.assertEqual(len(settled["job-1"].accepted.key), 200)
 
     @gen_test(timeout=60)
-    async def test_a_failing_disk_refuses_and_is_tried_again_by_itself(self) -> None:
-        self.begin()
+    async def test_failing_disk_rejects_requests_and_is_retried_without_new_ones(self) -> None:
+        self.start()
         self.disk.fail["sync"] = OSError(5, "Input/output error")
-        self.ask("job-1")
-        await self.until(lambda: "job-1" in self.sender.answers)
-        self.ask("job-2")
-        await self.until(lambda: "job-2" in self.sender.answers)
-        self.assertEqual({answer.kind for answer, _ in self.sender.answers.values()}, {"refused"})
-        self.assertEqual(self.keeper.unavailable_reason(), "Input/output error")
-        self.assertEqual(self.hop.got, [])
-        turned = self.core.unavailable_classes()
+        self.submit("job-1")
+        await self.wait_until(lambda: "job-1" in self.client.answers)
+        self.submit("job-2")
+        await self.wait_until(lambda: "job-2" in self.client.answers)
+        self.assertEqual({answer.kind for answer, _ in self.client.answers.values()}, {"refused"})
+        self.assertEqual(self.journal.unavailable_reason(), "Input/output error")
+        self.assertEqual(self.worker.delivered, [])
+        reason_by_class = self.manager.unavailable_classes()
         self.assertEqual(
-            (sorted(turned), set(turned.values())), (["bill", "book"], {"journal: Input/output error"})
+            (sorted(reason_by_class), set(reason_by_class.values())),
+            (["bill", "book"], {"journal: Input/output error"}),
         )
         self.disk.fail.clear()
-        begun = time.monotonic()
-        await self.until(lambda: not self.keeper.unavailable_reason())
-        self.assertLess(time.monotonic() - begun, 10 * DISK_BACKOFF_S)
-        self.ask("job-3")
-        await self.until(lambda: "job-3" in self.sender.answers)
-        self.assertEqual((self.sender.answers["job-3"][0].kind, self.hop.early), ("served", 0))
+        repaired_at_s = time.monotonic()
+        await self.wait_until(lambda: not self.journal.unavailable_reason())
+        self.assertLess(time.monotonic() - repaired_at_s, 10 * DISK_BACKOFF_S)
+        self.submit("job-3")
+        await self.wait_until(lambda: "job-3" in self.client.answers)
+        self.assertEqual((self.client.answers["job-3"][0].kind, self.worker.without_intent), ("served", 0))
 
     @gen_test(timeout=60)
-    async def test_who_serves_without_a_disk_leaves_doubt_and_not_a_wrong_word(self) -> None:
-        self.begin("serve")
-        self.ask("job-0")
-        await self.until(lambda: "job-0" in self.sender.answers)
+    async def test_request_served_without_an_intent_is_never_not_sent_after_a_crash(self) -> None:
+        self.start("serve")
+        self.submit("job-0")
+        await self.wait_until(lambda: "job-0" in self.client.answers)
         self.disk.gate.clear()
-        self.ask("job-1")  # taken, and written together with its intent, which fails
+        self.submit("job-1")  # its acceptance and its intent are in one write, which fails
         self.disk.fail["append"] = OSError(28, "No space left on device")
         self.disk.gate.set()
-        await self.until(lambda: "job-1" in self.sender.answers)
-        self.assertIn(("job-1", 0), self.hop.got)
+        await self.wait_until(lambda: "job-1" in self.client.answers)
+        self.assertIn(("job-1", 0), self.worker.delivered)
         self.disk.fail.clear()
-        log = SegmentLog(self.disk)  # as after a crash at this very moment
-        kept = JournalWriter(log, "refuse", "again", lambda *_: None)
-        kept.close()
-        ledger, settled = self.ledger()
-        found = settled.get("job-1")
-        self.assertTrue(found is None or found.delivery_state != "not sent", found)
+        log = SegmentLog(self.disk)  # opens the folder as it would be after a crash now
+        restarted_journal = JournalWriter(log, "refuse", "again", lambda *_: None)
+        restarted_journal.close()
+        states, settled = self.read_states()
+        request = settled.get("job-1")
+        self.assertTrue(request is None or request.delivery_state != "not sent", request)
 
     @gen_test(timeout=60)
-    async def test_a_client_that_leaves_while_the_disk_is_awaited_causes_no_send(self) -> None:
-        await self.leave(cancel=True)
+    async def test_client_that_disconnects_before_the_intent_is_durable_causes_no_delivery(self) -> None:
+        await self.disconnect_before_intent(cancel=True)
 
     @gen_test(timeout=60)
-    async def test_nor_where_nothing_may_be_called_off(self) -> None:
-        await self.leave(cancel=False)
+    async def test_client_that_disconnects_causes_no_delivery_if_cancel_is_off(self) -> None:
+        await self.disconnect_before_intent(cancel=False)
 
-    async def leave(self, cancel: bool) -> None:
-        self.begin(cancel=cancel)
+    async def disconnect_before_intent(self, cancel: bool) -> None:
+        self.start(cancel=cancel)
         self.disk.gate.clear()
-        self.ask("job-1")
-        await self.until(lambda: self.core.in_flight)
-        self.core.post(ClientDisconnected("job-1", self.sender))
-        await self.until(lambda: not self.core.in_flight)
+        self.submit("job-1")
+        await self.wait_until(lambda: self.manager.in_flight)
+        self.manager.post(ClientDisconnected("job-1", self.client))
+        await self.wait_until(lambda: not self.manager.in_flight)
         self.disk.gate.set()
-        self.assertTrue(self.keeper.close())
-        _, settled = self.ledger()
-        self.assertEqual((self.hop.got, settled["job-1"].delivery_state), ([], "not sent"))
+        self.assertTrue(self.journal.close())
+        _, settled = self.read_states()
+        self.assertEqual((self.worker.delivered, settled["job-1"].delivery_state), ([], "not sent"))
         self.assertEqual(settled["job-1"].answer, "left")
 
     @gen_test(timeout=60)
-    async def test_what_a_crash_left_is_told_and_never_runs_again(self) -> None:
-        self.begin()
-        hop = self.hop
-        hop.deliver = lambda delivery, listener: hop.got.append((delivery.request.id, delivery.number))
-        self.ask("job-1")
-        await self.until(lambda: hop.got)
-        self.keeper.committer.stop()
-        again = JournalWriter(SegmentLog(self.disk), "refuse", "again", self.io_loop.add_callback)
+    async def test_request_interrupted_by_a_crash_is_answered_as_repeated(self) -> None:
+        self.start()
+        worker = self.worker
+        worker.deliver = lambda delivery, listener: worker.delivered.append(
+            (delivery.request.id, delivery.number)
+        )
+        self.submit("job-1")
+        await self.wait_until(lambda: worker.delivered)
+        self.journal.committer.stop()
+        restarted_journal = JournalWriter(SegmentLog(self.disk), "refuse", "again", self.io_loop.add_callback)
         self.assertEqual(
-            [(request.id, attempt.worker) for request, attempt in again.unfinished_attempts],
+            [(request.id, attempt.worker) for request, attempt in restarted_journal.unfinished_attempts],
             [("job-1", "w1")],
         )
-        core = RequestManager(settings(), 1, Clock())
-        core.recorder = again
-        core.post(EndpointsChanged(api.WorkerList("complete", (api.Worker(1),)), {1: hop}))
-        sender = Sender()
-        core.post(RequestSubmitted(JobRequest("job-1", CLS, 5000.0), sender))
-        await self.until(lambda: sender.answers)
-        answer = sender.answers["job-1"][0]
-        self.assertEqual((answer.kind, len(hop.got)), ("repeated", 1))
+        manager = RequestManager(settings(), 1, Clock())
+        manager.recorder = restarted_journal
+        manager.post(EndpointsChanged(api.WorkerList("complete", (api.Worker(1),)), {1: worker}))
+        client = RecordingClient()
+        manager.post(RequestSubmitted(JobRequest("job-1", CLS, 5000.0), client))
+        await self.wait_until(lambda: client.answers)
+        answer = client.answers["job-1"][0]
+        self.assertEqual((answer.kind, len(worker.delivered)), ("repeated", 1))
         self.assertRegex(answer.body.decode(), r"^possibly sent to w1 at .*not known$")
-        again.close()
+        restarted_journal.close()
 
 
-class FaktoryHop(AsyncTestCase):
-    """A job waits for its FETCH first and for the disk then: nothing leaves before both are there."""
+class FaktoryWorkerIntentTest(AsyncTestCase):
+    """A job is sent only after a FETCH has come and then its intent is on disk."""
 
     def setUp(self) -> None:
         super().setUp()
-        self.hop, self.ended, self.asked = FaktoryWorker("w1", "127.0.0.1"), {}, {}
+        # The ended attempts and the callbacks of record_intent, by request.
+        self.worker, self.ended, self.intent_callbacks = FaktoryWorker("w1", "127.0.0.1"), {}, {}
 
     def post(self, message: object) -> None:
         if isinstance(message, AttemptEnded):
             self.ended[message.request] = message
 
     def deliver(self, name: str) -> None:
-        self.hop.deliver(
+        self.worker.deliver(
             DeliveryAttempt(
                 JobRequest(name, CLS, 5000.0),
                 0,
                 5000.0,
                 is_recorded=True,
-                record_intent=lambda then: self.asked.setdefault(name, then),
+                record_intent=lambda on_recorded: self.intent_callbacks.setdefault(name, on_recorded),
             ),
             self,
         )
 
     def fetch(self) -> Future:
         reply: Future = Future()
-        self.hop.post(FetchRequested((CLS,), reply))
+        self.worker.post(FetchRequested((CLS,), reply))
         return reply
 
     @gen_test(timeout=60)
-    async def test_the_intent_is_asked_for_once_a_fetch_is_there(self) -> None:
+    async def test_intent_is_recorded_once_a_fetch_has_come(self) -> None:
         self.deliver("job-1")
         await sleep(0)
-        self.assertEqual(self.asked, {})
+        self.assertEqual(self.intent_callbacks, {})
         reply = self.fetch()
         await sleep(0.01)
         self.assertFalse(reply.done())
-        self.asked["job-1"](True)
-        data, written = await reply
+        self.intent_callbacks["job-1"](True)
+        data, on_written = await reply
         self.assertIn(b"job-1", data)
-        written(True)
-        self.hop.post(JobFinished("job-1", "ok"))
+        on_written(True)
+        self.worker.post(JobFinished("job-1", "ok"))
         await sleep(0.01)
         self.assertEqual((self.ended["job-1"].result, self.ended["job-1"].is_unsent), ("ok", False))
 
     @gen_test(timeout=60)
-    async def test_a_job_given_up_or_refused_meanwhile_leaves_its_fetch_to_the_next(self) -> None:
+    async def test_fetch_of_a_cancelled_or_rejected_job_goes_to_the_next(self) -> None:
         reply = self.fetch()
-        for name, end in (
-            ("job-1", lambda: self.hop.cancel("job-1", 0, "timeout")),
-            ("job-2", lambda: self.asked["job-2"](False)),
+        for name, end_attempt in (
+            ("job-1", lambda: self.worker.cancel("job-1", 0, "timeout")),
+            ("job-2", lambda: self.intent_callbacks["job-2"](False)),
         ):
             self.deliver(name)
             await sleep(0.01)
-            end()
+            end_attempt()
             await sleep(0.01)
             self.assertTrue(self.ended[name].is_unsent)
             self.assertFalse(reply.done())
-        self.asked["job-1"](True)  # too late: it is over
+        self.intent_callbacks["job-1"](True)  # too late: the attempt was cancelled
         self.deliver("job-3")
         await sleep(0.01)
-        self.asked["job-3"](True)
+        self.intent_callbacks["job-3"](True)
         self.assertIn(b"job-3", (await reply)[0])
 
     @gen_test(timeout=60)
-    async def test_a_fetch_that_ends_meanwhile_leaves_the_job_to_another(self) -> None:
-        gone = self.fetch()
+    async def test_job_whose_fetch_ends_goes_to_the_next_fetch(self) -> None:
+        ended_fetch = self.fetch()
         self.deliver("job-1")
         await sleep(0.01)
-        gone.set_result(None)
-        self.asked.pop("job-1")(True)
+        ended_fetch.set_result(None)
+        self.intent_callbacks.pop("job-1")(True)
         await sleep(0.01)
         self.assertEqual(self.ended, {})
         self.assertIn(b"job-1", (await self.fetch())[0])
-        self.assertEqual(self.asked, {})  # its intent was on disk already
+        self.assertEqual(self.intent_callbacks, {})  # the intent is on disk and not recorded again
 
 
-class Killed(unittest.TestCase):
-    """A few of the system calls; measure/crashes.py goes through all of them."""
+class KilledDaemonTest(unittest.TestCase):
+    """Kills daemons at some of their system calls; measure/crashes.py kills them at all."""
 
-    def test_no_crash_shows_a_request_unsent_that_a_worker_has_seen(self) -> None:
+    def test_request_that_a_worker_has_seen_is_never_not_sent(self) -> None:
         results = measure(rounds=1, step=5, lanes=4, seed=1)
-        self.assertEqual(sum(each.kills > 3 for each in results.values()), 6)
-        for name, each in results.items():
+        self.assertEqual(sum(result.kills > 3 for result in results.values()), 6)
+        for name, result in results.items():
             with self.subTest(name):
-                self.assertEqual((each.wrong, each.again, each.untold, each.accepted), ([], 0, 0, 0))
+                self.assertEqual((result.wrong, result.again, result.untold, result.accepted), ([], 0, 0, 0))
 
-    def test_a_folder_that_another_daemon_writes_is_refused_in_one_line(self) -> None:
+    def test_daemon_does_not_start_on_a_folder_in_use(self) -> None:
         from measure.daemons import Daemon
 
         with tempfile.TemporaryDirectory() as folder:
             table = f'[journal]\ndirectory = "{folder}/journal"\n'
-            first = Daemon("a", [], (), table, admin=False)
-            self.addCleanup(first.close)
+            first_daemon = Daemon("a", [], (), table, admin=False)
+            self.addCleanup(first_daemon.close)
             with self.assertRaisesRegex(RuntimeError, "journal.directory: .*in use by another process\n$"):
                 Daemon("b", [], (), table, admin=False)
 
