--- a/benchmarks/journal_scale.py
+++ b/benchmarks/journal_scale.py
@@ -1,4 +1,4 @@
-"""A restart with a million records, and queries over ten million: time, memory and size on disk.
+"""Measures time, memory and size on disk of a restart with a million records and of queries over ten million.
 
 .venv/bin/python -m benchmarks.journal_scale --out docs/results/journal-scale.md
 """
@@ -26,57 +26,58 @@
 )
 from spanwing.journal.segment_log import SNAPSHOT_SUFFIX, RetentionLimits, SegmentLog
 
-BATCH = 200  # requests in one write
-A_RECORD = 5  # records of a request
-WORKERS, OPEN = 19, 100
-FIRST_MS, STEP_MS = 1.8e12, 22.0
-SEGMENT = 16_000_000
+REQUESTS_PER_BATCH = 200
+RECORDS_PER_REQUEST = 5
+WORKERS, OPEN_REQUESTS = 19, 100
+FIRST_MS, REQUEST_INTERVAL_MS = 1.8e12, 22.0  # wall clock of the first request, and time between requests
+SEGMENT_BYTES = 16_000_000
 
 
 def fill(folder: str, records: int) -> None:
-    """Requests one after another, the last OPEN of them left open."""
-    log = SegmentLog(LocalFolder(folder), RetentionLimits(SEGMENT, 1e15, 1e15, 1 << 50))
-    log.files.sync = lambda name: None  # how long the disk takes is another measurement
-    requests = records // A_RECORD
-    for begin in range(0, requests, BATCH):
+    """Writes a journal of about that many records; the last OPEN_REQUESTS requests are left open."""
+    log = SegmentLog(LocalFolder(folder), RetentionLimits(SEGMENT_BYTES, 1e15, 1e15, 1 << 50))
+    log.files.sync = lambda name: None  # the time of a sync is measured by benchmarks.journal_latency
+    requests = records // RECORDS_PER_REQUEST
+    for first in range(0, requests, REQUESTS_PER_BATCH):
         batch = []
-        for number in range(begin, min(requests, begin + BATCH)):
-            name, now = f"job-{number:08d}", FIRST_MS + number * STEP_MS
+        for number in range(first, min(requests, first + REQUESTS_PER_BATCH)):
+            name, now_ms = f"job-{number:08d}", FIRST_MS + number * REQUEST_INTERVAL_MS
             batch += [
                 RequestAccepted(
                     name,
-                    now,
-                    now,
+                    now_ms,
+                    now_ms,
                     "schedule-apply",
                     f"tenant-{number % 40}",
                     f"key-{number}",
                     "platform",
                     25000.0,
                 ),
-                AttemptIntent(name, now + 2, now, 0, f"w{number % WORKERS}", "127.0.0.1:7000"),
+                AttemptIntent(name, now_ms + 2, now_ms, 0, f"w{number % WORKERS}", "127.0.0.1:7000"),
             ]
-            if number < requests - OPEN:
+            if number < requests - OPEN_REQUESTS:
                 batch += [
-                    LastByteWritten(name, now + 5, now, 0),
-                    AttemptCompleted(name, now + 900, now, 0, "ok"),
-                    RequestAnswered(name, now + 901, now, "served"),
+                    LastByteWritten(name, now_ms + 5, now_ms, 0),
+                    AttemptCompleted(name, now_ms + 900, now_ms, 0, "ok"),
+                    RequestAnswered(name, now_ms + 901, now_ms, "served"),
                 ]
-        log.write(batch, FIRST_MS + begin * STEP_MS)
+        log.write(batch, FIRST_MS + first * REQUEST_INTERVAL_MS)
     log.close()
     log.files.stop()
 
 
-def timed(*command: str) -> tuple[float, float, str]:
-    """Seconds, the most memory in MB, and the output of a program of ours."""
-    begun = time.perf_counter()
-    done = subprocess.run(
-        [sys.executable, "-c", AROUND, *command], check=True, capture_output=True, text=True
+def run_module(*command: str) -> tuple[float, float, str]:
+    """Runs a module with arguments in a process; returns seconds, peak memory in MB, and its output."""
+    started_at_s = time.perf_counter()
+    result = subprocess.run(
+        [sys.executable, "-c", MODULE_RUNNER, *command], check=True, capture_output=True, text=True
     )
-    took = time.perf_counter() - begun
-    return took, int(re.search(r"VmHWM:\s+(\d+) kB", done.stderr)[1]) / 1024, done.stdout
+    elapsed_s = time.perf_counter() - started_at_s
+    return elapsed_s, int(re.search(r"VmHWM:\s+(\d+) kB", result.stderr)[1]) / 1024, result.stdout
 
 
-AROUND = """
+# Runs the module that its first argument names, then prints the process status, which has the peak memory.
+MODULE_RUNNER = """
 import runpy, sys
 sys.argv = sys.argv[1:]
 try:
@@ -87,85 +88,102 @@
 """
 
 
-def size_mb(folder: str, *endings: str) -> float:
-    return sum(each.stat().st_size for each in Path(folder).iterdir() if each.suffix in endings) / 1e6
+def size_mb(folder: str, *suffixes: str) -> float:
+    """Returns the total size of the folder's files with one of these suffixes, in MB."""
+    return sum(path.stat().st_size for path in Path(folder).iterdir() if path.suffix in suffixes) / 1e6
 
 
 @click.command()
 @click.option("--restart-records", default=1_000_000, show_default=True)
 @click.option("--query-records", default=10_000_000, show_default=True)
-@click.option("--folder", help="On the disk to be used [default: the system's temporary folder].")
+@click.option("--folder", help="A folder on the disk to use [default: the system's temporary folder].")
 @click.option("--out", type=click.Path(path_type=Path))
-@click.option("--open", "opened", hidden=True, help="Open this folder's log, and say how long it took.")
+@click.option("--open", "folder_to_open", hidden=True, help="Open the log in this folder and print the time.")
 def main(
-    restart_records: int, query_records: int, folder: str | None, out: Path | None, opened: str | None
+    restart_records: int, query_records: int, folder: str | None, out: Path | None, folder_to_open: str | None
 ) -> None:
-    """Fill folders, then measure."""
-    if opened:
-        begun = time.perf_counter()
-        log = SegmentLog(LocalFolder(opened))
+    """Writes journals of both sizes and measures restarts and queries."""
+    if folder_to_open:
+        started_at_s = time.perf_counter()
+        log = SegmentLog(LocalFolder(folder_to_open))
         click.echo(
-            json.dumps({"s": time.perf_counter() - begun, "open": len(log.request_states.open_requests)})
+            json.dumps(
+                {"s": time.perf_counter() - started_at_s, "open": len(log.request_states.open_requests)}
+            )
         )
         return
-    lines = ["| what | records | on disk, MB | seconds | memory, MB | found |", "| --- " * 6 + "|"]
+    lines = ["| measurement | records | on disk, MB | seconds | memory, MB | found |", "| --- " * 6 + "|"]
 
-    def told(what: str, count: int, disk: float, seconds: float, memory: float, found: object) -> None:
-        lines.append(f"| {what} | {count:,} | {disk:.0f} | {seconds:.2f} | {memory:.0f} | {found} |")
+    def add_row(
+        measurement: str, count: int, disk_mb: float, seconds: float, memory_mb: float, found: object
+    ) -> None:
+        lines.append(
+            f"| {measurement} | {count:,} | {disk_mb:.0f} | {seconds:.2f} | {memory_mb:.0f} | {found} |"
+        )
         click.echo(lines[-1])
 
-    with tempfile.TemporaryDirectory(dir=folder) as place:
-        fill(place, restart_records)
-        disk = size_mb(place, ".log")
-        _, memory, said = timed("benchmarks.journal_scale", "--open", place)
-        told(
-            "restart, with its snapshot",
+    with tempfile.TemporaryDirectory(dir=folder) as journal_folder:
+        fill(journal_folder, restart_records)
+        disk_mb = size_mb(journal_folder, ".log")
+        _, memory_mb, output = run_module("benchmarks.journal_scale", "--open", journal_folder)
+        add_row(
+            "restart with a snapshot",
             restart_records,
-            disk,
-            json.loads(said)["s"],
-            memory,
-            f"{json.loads(said)['open']} open",
+            disk_mb,
+            json.loads(output)["s"],
+            memory_mb,
+            f"{json.loads(output)['open']} open",
         )
-        for each in Path(place).glob(f"*{SNAPSHOT_SUFFIX}"):
-            each.unlink()
-        _, memory, said = timed("benchmarks.journal_scale", "--open", place)
-        told(
-            "restart, its snapshots lost",
+        for path in Path(journal_folder).glob(f"*{SNAPSHOT_SUFFIX}"):
+            path.unlink()
+        _, memory_mb, output = run_module("benchmarks.journal_scale", "--open", journal_folder)
+        add_row(
+            "restart without a snapshot",
             restart_records,
-            disk,
-            json.loads(said)["s"],
-            memory,
-            f"{json.loads(said)['open']} open",
+            disk_mb,
+            json.loads(output)["s"],
+            memory_mb,
+            f"{json.loads(output)['open']} open",
         )
-        shutil.rmtree(place, ignore_errors=True)
-        Path(place).mkdir()
-        fill(place, query_records)
-        disk = size_mb(place, ".log")
-        requests = query_records // A_RECORD
-        one = f"request = job-{requests // 3:08d}"
-        begin = FIRST_MS + (requests // 2) * STEP_MS
-        when = [
-            time.strftime("%Y-%m-%dT%H:%M:%S", time.localtime((begin + shift) / 1000))
-            for shift in (0.0, 3_600_000.0)
+        shutil.rmtree(journal_folder, ignore_errors=True)
+        Path(journal_folder).mkdir()
+        fill(journal_folder, query_records)
+        disk_mb = size_mb(journal_folder, ".log")
+        requests = query_records // RECORDS_PER_REQUEST
+        request_query = f"request = job-{requests // 3:08d}"
+        hour_start_ms = FIRST_MS + (requests // 2) * REQUEST_INTERVAL_MS
+        hour_bounds = [
+            time.strftime("%Y-%m-%dT%H:%M:%S", time.localtime((hour_start_ms + offset_ms) / 1000))
+            for offset_ms in (0.0, 3_600_000.0)
         ]
-        hour = f"worker = w7 and time >= {when[0]} and time < {when[1]}"
-        for what, expression in (
-            ("one request, indexes made", one),
-            ("one request, indexes there", one),
-            ("a worker's hour, indexes there", hour),
+        worker_query = f"worker = w7 and time >= {hour_bounds[0]} and time < {hour_bounds[1]}"
+        for measurement, expression in (
+            ("query for one request, builds the indexes", request_query),
+            ("query for one request, with indexes", request_query),
+            ("query for one hour of a worker, with indexes", worker_query),
         ):
-            took, memory, said = timed(
-                "spanwing.cli.main", "journal", "query", expression, "--directory", place, "--limit", "0"
+            elapsed_s, memory_mb, output = run_module(
+                "spanwing.cli.main",
+                "journal",
+                "query",
+                expression,
+                "--directory",
+                journal_folder,
+                "--limit",
+                "0",
+            )
+            add_row(
+                measurement, query_records, disk_mb, elapsed_s, memory_mb, f"{len(output.splitlines())} rows"
             )
-            told(what, query_records, disk, took, memory, f"{len(said.splitlines())} rows")
-        told("size of the indexes", query_records, size_mb(place, ".idx"), 0.0, 0.0, "")
+        add_row("size of the indexes", query_records, size_mb(journal_folder, ".idx"), 0.0, 0.0, "")
     if out:
         table = "\n".join(lines)
         out.write_text(
-            "# The journal at size\n\n    .venv/bin/python -m benchmarks.journal_scale\n\n"
-            f"{A_RECORD} records a request, {WORKERS} workers, segments of {SEGMENT / 1e6:.0f} "
-            "MB. A restart is the time to open the log; a query is the whole command, its own "
-            f"start among it.\n\n{table}\n"
+            "# Restarts and queries of large journals\n\n"
+            "    .venv/bin/python -m benchmarks.journal_scale\n\n"
+            f"{RECORDS_PER_REQUEST} records per request, {WORKERS} workers, segments of "
+            f"{SEGMENT_BYTES / 1e6:.0f} MB. The time of a restart is the time to open the log; that of a "
+            f"query is the time of the whole command, including its start.\n\n{table}\n"
         )
 
 
