--- a/spanwing/journal/committer.py
+++ b/spanwing/journal/committer.py
@@ -95,9 +95,10 @@
         return True
 
     def unavailable_reason(self, slow_after_s: float) -> str:
-        """Returns why a new record may not be on disk soon; empty if nothing speaks against it.
+        """Returns why new records cannot be expected on disk soon; empty if they can.
 
-        Either the write in progress has taken longer than slow_after_s, or the last write failed.
+        The reason is that the write in progress has taken longer than slow_after_s, or the error of the last
+        write or retention run.
         """
         started_at_s = self.write_started_at_s
         if started_at_s is not None and self.clock() - started_at_s > slow_after_s:
@@ -129,8 +130,8 @@
     def _is_retry_due(self) -> bool:
         """Returns whether the last write failed and DISK_BACKOFF_S has passed since.
 
-        The retry must not wait for records: none may be submitted, as requests are rejected until a write
-        succeeds.
+        The retry must not wait for new records: with the failure policy `refuse` none come, as requests are
+        rejected until a write succeeds.
         """
         return bool(self.failure_reason) and self.clock() >= self.retry_at_s
 
@@ -150,7 +151,7 @@
         return batches
 
     def _commit(self, batches: list[PendingBatch]) -> None:
-        """Writes the batches' records, or counts them as lost, and calls their callbacks on the loop."""
+        """Writes the batches' records or counts them as lost; the callbacks run on the event loop."""
         records = [record for batch in batches for record in batch.records]
         reason = (
             self.failure_reason
@@ -198,7 +199,7 @@
         self.lost_records, self.lost_reason = self.lost_records + count, reason
 
     def _apply_retention(self) -> None:
-        """Removes expired segments, once in RETENTION_INTERVAL_S."""
+        """Removes expired segments, at most once per RETENTION_INTERVAL_S."""
         if self.clock() - self.last_retention_at_s < RETENTION_INTERVAL_S:
             return
         self.last_retention_at_s = self.clock()
--- a/spanwing/journal/compaction.py
+++ b/spanwing/journal/compaction.py
@@ -158,7 +158,7 @@
         self.thread.start()
 
     def stop(self) -> None:
-        """Stops the thread after the slice that it works on; waits for that for at most 1 s."""
+        """Stops the thread at its next pause; waits at most 1 s for it to end."""
         self.stop_event.set()
         self.thread.join(1.0)
 
--- a/spanwing/journal/frames.py
+++ b/spanwing/journal/frames.py
@@ -42,7 +42,7 @@
     started_ms: float  # wall clock, ms
     flags: int = 0
     # The number of the last record on disk when the segment was started. A record up to this number that
-    # is in no earlier segment was lost.
+    # is in no earlier segment was lost, or removed by retention.
     last_number_before: int = 0
 
 
@@ -55,7 +55,7 @@
 
 
 class DamagedBytes(NamedTuple):
-    """A range of bytes without a complete frame; a fault of no bytes, as a gap in the numbers, has size 0."""
+    """A range of bytes without a complete frame; its size is 0 for other faults, such as missing numbers."""
 
     offset: int  # bytes from the start of the segment
     size: int
--- a/spanwing/journal/reader.py
+++ b/spanwing/journal/reader.py
@@ -39,7 +39,7 @@
 
     segment: str  # name of its file
     damage: DamagedBytes
-    is_harmless: bool  # as a crash may leave it, without the loss of an acknowledged record
+    is_harmless: bool  # a crash can leave it without the loss of an acknowledged record
 
 
 class JournalReader:
@@ -85,8 +85,8 @@
 
         Records of other requests are read only if their id has the same hash as one of these.
         """
-        # Process starts and gaps, which have an empty request id, are read too: after them, records of a
-        # request may be missing.
+        # Process starts and gaps, which have an empty request id, are read too: they show which requests may
+        # lack attempts.
         states, request_hashes = RequestStates(), indexes.hash_names({"", *request_ids})
         for segment in self.segment_reader.segment_names():
             data, header = self._map_segment(segment)
--- a/spanwing/journal/request_states.py
+++ b/spanwing/journal/request_states.py
@@ -63,7 +63,7 @@
 
     @property
     def is_ended(self) -> bool:
-        """Returns whether the attempt has an end: no result, unsent or closing record is due."""
+        """Returns whether a record states the end of the attempt: its result, that it is unsent or closed."""
         return bool(self.unsent_reason or self.result or self.is_closed_at_start)
 
 
@@ -95,7 +95,7 @@
 
     @property
     def is_settled(self) -> bool:
-        """Returns whether the request was answered or interrupted by a crash and all its attempts ended.
+        """Returns whether the request was answered, or interrupted by a crash, and all its attempts ended.
 
         No further record of a settled request is due.
         """
@@ -108,7 +108,7 @@
 
 
 class InterruptedRequest(NamedTuple):
-    """What a client that repeats a request is told of the first one, which a crash interrupted."""
+    """What a client is told when it repeats a request that a crash interrupted."""
 
     delivery_state: str
     worker: str  # of the last attempt; empty if unknown
@@ -125,7 +125,7 @@
         self.open_requests: dict[str, JournalRequest] = {}
         # At most MAX_INTERRUPTED_REQUESTS; beyond that the oldest is dropped.
         self.interrupted: OrderedDict[str, InterruptedRequest] = OrderedDict()
-        # Whether the incarnation whose records are being read forwards nothing before its intent is on disk.
+        # Whether the incarnation whose records are being read forwards attempts only with an intent on disk.
         self.has_every_intent = True
 
     def apply(self, number: int, record: AnyRecord) -> JournalRequest | None:
@@ -154,7 +154,8 @@
     def _apply_process_record(self, record: AnyRecord) -> None:
         """Applies a record that belongs to no request: a process start or a gap.
 
-        Either of them may hide intents of open requests if the incarnation before it forwards without them.
+        If the incarnation before it may have forwarded attempts without an intent on disk, every open request
+        may lack attempts.
         """
         if isinstance(record, JournalGap | ProcessStarted) and not self.has_every_intent:
             for request in self.open_requests.values():
@@ -167,9 +168,9 @@
         return min((request.first_number for request in self.open_requests.values()), default=None)
 
     def unfinished_attempts(self) -> list[tuple[JournalRequest, JournalAttempt]]:
-        """Returns the attempts of open requests that may have been sent and have no end, with their request.
+        """Returns the attempts of open requests that may have been sent and have not ended.
 
-        A request without such an attempt whose intents may be missing is listed with an attempt numbered
+        If a request has no such attempt but its intents may be missing, it is listed with an attempt numbered
         NO_ATTEMPT.
         """
         unfinished = []
--- a/spanwing/journal/segment_log.py
+++ b/spanwing/journal/segment_log.py
@@ -93,13 +93,13 @@
     def read_all(self, after_number: int = 0) -> Iterator[tuple[str, RecordFrame | DamagedBytes]]:
         """Yields the complete frames with a number above after_number, and the damage, by segment name.
 
-        A segment whose records all have lower numbers is not read, so its damage is not reported.
+        A segment that can only have records up to after_number is not read, so its damage is not reported.
         """
         names, last_number, expects_predecessor = self.segment_names(), after_number, bool(after_number)
         for position, name in enumerate(names):
             next_first_number = number_in_name(names[position + 1]) if position + 1 < len(names) else None
             if next_first_number is not None and next_first_number <= after_number + 1:
-                continue  # all records of this segment have lower numbers
+                continue  # this segment has no record above after_number
             try:
                 data = self.files.read(name)
             except FileNotFoundError:
--- a/spanwing/journal/table.py
+++ b/spanwing/journal/table.py
@@ -1,6 +1,6 @@
 """The journal as a table, for the command line: one row per attempt, or one for a request without attempts.
 
-A request whose attempts were all not sent, but which may lack records of others, has one more row for itself.
+If all known attempts of a request are not sent, but it may lack attempts, it has one more row for itself.
 """
 
 from __future__ import annotations
