--- a/spanwing/cli/check.py
+++ b/spanwing/cli/check.py
@@ -15,7 +15,7 @@
     read_operator_file,
 )
 from spanwing.faults import ErrorCollector
-from spanwing.frontsfile import (
+from spanwing.operator_file import (
     MIN_LEASE_MS,
     OperatorFile,
     check_balancers,
--- a/spanwing/cli/client.py
+++ b/spanwing/cli/client.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from spanwing.frontsfile import DEFAULT_OPERATOR_FILE
+from spanwing.operator_file import DEFAULT_OPERATOR_FILE
 
 REPLY_TIMEOUT_S = 5.0
 MAX_REPLY_BYTES = 1 << 20
--- a/spanwing/cli/journal.py
+++ b/spanwing/cli/journal.py
@@ -15,7 +15,6 @@
 import click
 import msgspec
 
-from spanwing.frontsfile import DEFAULT_OPERATOR_FILE, OperatorFile
 from spanwing.journal.files import FolderInUseError, LocalFolder
 from spanwing.journal.frames import DamagedBytes, RecordFrame
 from spanwing.journal.query import FIELDS, QueryError, QueryPlan, parse_query
@@ -23,6 +22,7 @@
 from spanwing.journal.records import RECORD_KINDS
 from spanwing.journal.repair import apply_step, plan_repair
 from spanwing.journal.table import AttemptRow, attempt_rows
+from spanwing.operator_file import DEFAULT_OPERATOR_FILE, OperatorFile
 
 EXIT_FAULTY, EXIT_NOT_FOUND = 1, 1
 TAIL_INTERVAL_S = 0.2
--- a/spanwing/config.py
+++ b/spanwing/config.py
@@ -13,7 +13,8 @@
 from spanwing import interface as api
 from spanwing.discovery.client import DiscoveredEndpoints
 from spanwing.faults import ErrorCollector
-from spanwing.frontsfile import (
+from spanwing.net.address import Address, parse_address
+from spanwing.operator_file import (
     DEFAULT_OPERATOR_FILE,
     BalancerSettings,
     JournalTable,
@@ -32,7 +33,6 @@
     check_zones,
     parse_listen_address,
 )
-from spanwing.net.address import Address, parse_address
 from spanwing.settings import SETTING_NAMES, PlatformSettings, scheduler_settings
 
 RESERVED_SOCKETS = 28  # listeners, logs, the loop, discovery, members of the store
--- a/spanwing/frontends/balancers/listeners.py
+++ b/spanwing/frontends/balancers/listeners.py
@@ -16,9 +16,9 @@
 from spanwing.frontends.balancers.health_checks import HealthFrontend
 from spanwing.frontends.balancers.health_reporter import HealthReporter
 from spanwing.frontends.http_server import HttpServer
-from spanwing.frontsfile import BalancerSettings
 from spanwing.net.buffers import BufferPool
 from spanwing.net.proxied_connections import Network
+from spanwing.operator_file import BalancerSettings
 
 MAX_HEALTH_CONNECTIONS = 12  # connections of the health listener
 
--- a/spanwing/frontends/balancers/service.py
+++ b/spanwing/frontends/balancers/service.py
@@ -17,11 +17,11 @@
 from spanwing.frontends.balancers.listeners import Listeners
 from spanwing.frontends.faktory import FaktoryFrontend
 from spanwing.frontends.http_server import HttpServer
-from spanwing.frontsfile import BalancerSettings
 from spanwing.health.signals import ResourceUsage
 from spanwing.net.buffers import BufferPool
 from spanwing.net.loop_meter import MeteredSelector
 from spanwing.net.proxied_connections import Network
+from spanwing.operator_file import BalancerSettings
 from spanwing.store.store import NoQuorumError, Store
 from spanwing.workers.connection_pool import DescriptorBudget
 
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -19,7 +19,7 @@
 from spanwing.cli.main import main
 from spanwing.config import PlatformFile, load_configuration
 from spanwing.faults import ConfigurationError
-from spanwing.frontsfile import OperatorFile
+from spanwing.operator_file import OperatorFile
 from spanwing.settings import PlatformSettings
 
 PLATFORM = json.loads((GOLDEN / "settings" / "platform.json").read_text())
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -26,7 +26,7 @@
     "store": {"actor", "net"},
     "workers": {"decisions", "actor", "core", "net", "log"},
     "discovery": {"decisions", "actor", "core", "net", "workers", "log"},
-    "frontsfile": {"faults", "health", "log", "store", "net"},
+    "operator_file": {"faults", "health", "log", "store", "net"},
     "frontends": {
         "decisions",
         "actor",
@@ -38,12 +38,12 @@
         "health",
         "log",
         "faults",
-        "frontsfile",
+        "operator_file",
     },
     "zones": {"decisions", "actor", "core", "store", "net", "log"},
     "policy": {"decisions", "actor", "core", "store", "net", "log", "hot_restart"},
     "hot_restart": {"decisions", "actor", "core", "net", "workers", "discovery", "frontends"},
-    "config": {"decisions", "net", "discovery", "store", "faults", "everyfault", "frontsfile"},
+    "config": {"decisions", "net", "discovery", "store", "faults", "everyfault", "operator_file"},
     "daemon": {
         "decisions",
         "actor",
@@ -64,7 +64,7 @@
     "cli": {
         "config",
         "faults",
-        "frontsfile",
+        "operator_file",
         "daemon",
         "journal",
         "experiment",
