--- a/spanwing/config.py
+++ b/spanwing/config.py
@@ -171,7 +171,7 @@
         # Decoding reports only the first error; to collect all of them, each value is checked.
         if not errors.collects_all:
             errors.add_error(setting, f"{path}: {error}")
-        from spanwing.everyfault import find_all_errors
+        from spanwing.schema_validation import find_all_errors
 
         value, file_errors = find_all_errors(data, struct_type, decode)
         for path_in_file, message in file_errors:
--- a/spanwing/simulation/scenario.py
+++ b/spanwing/simulation/scenario.py
@@ -15,8 +15,8 @@
 
 import msgspec
 
-from spanwing.everyfault import find_all_errors
 from spanwing.faults import ErrorCollector
+from spanwing.schema_validation import find_all_errors
 from spanwing.simulation.clients import BackoffKind, ClassSpec, LoadSpec, RetrySpec, TenantSpec
 from spanwing.simulation.fault_injection import FaultSpec
 from spanwing.simulation.fleet import FleetPlan
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -179,7 +179,7 @@
         code = (
             "import sys; import spanwing.daemon; "
             "print([m for m in ('click', 'h2', 'structlog', 'google_crc32c', "
-            "'spanwing.frontends.balancers.service', 'spanwing.everyfault') if m in sys.modules])"
+            "'spanwing.frontends.balancers.service', 'spanwing.schema_validation') if m in sys.modules])"
         )
         done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
         self.assertEqual(done.stdout.strip(), "[]")
