--- a/measure/scale.py
+++ b/measure/scale.py
@@ -16,7 +16,7 @@
 
 import click
 
-from spanwing.faults import ErrorCollector
+from spanwing.config_errors import ErrorCollector
 from spanwing.simulation.fleet import FleetSimulation
 from spanwing.simulation.scenario import load_scenario
 
--- a/spanwing/cli/check.py
+++ b/spanwing/cli/check.py
@@ -14,7 +14,7 @@
     load_configuration,
     read_operator_file,
 )
-from spanwing.faults import ErrorCollector
+from spanwing.config_errors import ErrorCollector
 from spanwing.operator_file import (
     MIN_LEASE_MS,
     OperatorFile,
--- a/spanwing/cli/experiment.py
+++ b/spanwing/cli/experiment.py
@@ -9,11 +9,11 @@
 
 import click
 
+from spanwing.config_errors import ConfigurationError
 from spanwing.experiment.compare import compare_columns
 from spanwing.experiment.matrix import read_plan
 from spanwing.experiment.matrix import run_experiment as play
 from spanwing.experiment.score import COMPARABLE_FIGURES
-from spanwing.faults import ConfigurationError
 
 EXIT_FAULTY = 1
 
--- a/spanwing/cli/load.py
+++ b/spanwing/cli/load.py
@@ -9,7 +9,7 @@
 
 import click
 
-from spanwing.faults import ErrorCollector
+from spanwing.config_errors import ErrorCollector
 from spanwing.load.openloop import LoadTestResult, OpenLoopGenerator
 from spanwing.simulation.clients import ClientModel
 from spanwing.simulation.random_streams import RandomStreams
--- a/spanwing/config.py
+++ b/spanwing/config.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from spanwing import interface as api
+from spanwing.config_errors import ErrorCollector
 from spanwing.discovery.client import DiscoveredEndpoints
-from spanwing.faults import ErrorCollector
 from spanwing.net.address import Address, parse_address
 from spanwing.operator_file import (
     DEFAULT_OPERATOR_FILE,
--- a/spanwing/daemon.py
+++ b/spanwing/daemon.py
@@ -26,6 +26,7 @@
     load_configuration,
     parse_settings,
 )
+from spanwing.config_errors import ConfigurationError
 from spanwing.core.clock import Clock
 from spanwing.core.request_manager import RequestManager
 from spanwing.core.send_guard import SendRule
@@ -33,7 +34,6 @@
 from spanwing.discovery.client import DiscoveryClient
 from spanwing.discovery.freshness import CallTiming
 from spanwing.discovery.persisted_list import start_spread_s
-from spanwing.faults import ConfigurationError
 from spanwing.frontends.faktory import FaktoryFrontend
 from spanwing.frontends.http_server import HttpServer
 from spanwing.frontends.platform import PlatformFrontend
--- a/spanwing/experiment/cell.py
+++ b/spanwing/experiment/cell.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
+from spanwing.config_errors import ErrorCollector
 from spanwing.experiment.score import OutcomeTally
-from spanwing.faults import ErrorCollector
 from spanwing.simulation.fault_injection import FaultInjector
 from spanwing.simulation.fleet import FleetPlan, FleetSimulation
 from spanwing.simulation.scenario import Scenario, parse_scenario
--- a/spanwing/experiment/matrix.py
+++ b/spanwing/experiment/matrix.py
@@ -22,8 +22,8 @@
 
 import msgspec
 
+from spanwing.config_errors import ConfigurationError, ErrorCollector
 from spanwing.experiment.cell import apply_changes
-from spanwing.faults import ConfigurationError, ErrorCollector
 from spanwing.simulation.scenario import SCENARIO_LIBRARY, load_scenario
 
 REPOSITORY_ROOT = Path(__file__).parent.parent.parent
--- a/spanwing/frontends/balancers/listeners.py
+++ b/spanwing/frontends/balancers/listeners.py
@@ -9,8 +9,8 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
+from spanwing.config_errors import ConfigurationError
 from spanwing.core.request_manager import RequestManager
-from spanwing.faults import ConfigurationError
 from spanwing.frontends.admin import AdminFrontend, PolicyOrders, ZoneOrders
 from spanwing.frontends.balancers.agent_check import AgentCheckFrontend, agent_check_reply, feedback_reply
 from spanwing.frontends.balancers.health_checks import HealthFrontend
--- a/spanwing/operator_file.py
+++ b/spanwing/operator_file.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from spanwing.faults import ErrorCollector
+from spanwing.config_errors import ErrorCollector
 from spanwing.health.settings import HealthSettings
 from spanwing.log.events import LogFormat
 from spanwing.net.address import Address, parse_address
--- a/spanwing/simulation/scenario.py
+++ b/spanwing/simulation/scenario.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from spanwing.faults import ErrorCollector
+from spanwing.config_errors import ErrorCollector
 from spanwing.schema_validation import find_all_errors
 from spanwing.simulation.clients import BackoffKind, ClassSpec, LoadSpec, RetrySpec, TenantSpec
 from spanwing.simulation.fault_injection import FaultSpec
--- a/tests/test_decider_digests.py
+++ b/tests/test_decider_digests.py
@@ -28,8 +28,8 @@
 from measure import policymodel
 from measure.fleet import simulated
 from spanwing import interface as api
+from spanwing.config_errors import ErrorCollector
 from spanwing.experiment.cell import apply_changes
-from spanwing.faults import ErrorCollector
 from spanwing.health.settings import HealthSettings
 from spanwing.health.signals import ClassLoad, CpuUsage, HealthSignals, ResourceUsage, WorkerCounts
 from spanwing.health.state_machine import HealthStateMachine
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -15,11 +15,11 @@
 import numpy as np
 from player import PATIENCE_S, ROOT
 
+from spanwing.config_errors import ConfigurationError, ErrorCollector
 from spanwing.experiment.cell import apply_changes
 from spanwing.experiment.compare import compare_columns, compare_paired
 from spanwing.experiment.matrix import list_cells, prepare_build, read_plan, run_experiment, source_digest
 from spanwing.experiment.report import render_page, write_parquet
-from spanwing.faults import ConfigurationError, ErrorCollector
 from spanwing.simulation.scenario import load_scenario
 
 PLAN = """name = "small"
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -18,7 +18,7 @@
 
 from spanwing.cli.main import main
 from spanwing.config import PlatformFile, load_configuration
-from spanwing.faults import ConfigurationError
+from spanwing.config_errors import ConfigurationError
 from spanwing.operator_file import OperatorFile
 from spanwing.settings import PlatformSettings
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -5,7 +5,7 @@
 import re
 import unittest
 
-from spanwing.faults import ConfigurationError, ErrorCollector
+from spanwing.config_errors import ConfigurationError, ErrorCollector
 from spanwing.simulation.fault_injection import FaultInjector, FaultSpec
 from spanwing.simulation.fleet import AnsweredRequest, FleetSimulation
 from spanwing.simulation.scenario import SCENARIO_LIBRARY, Scenario, load_scenario, parse_scenario
