--- a/spanwing/__main__.py
+++ b/spanwing/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m spanwing`: without arguments the daemon, as the platform runs it; with arguments a command."""
+"""`python -m spanwing`: runs the daemon without arguments, as the platform does, or else a command."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 def main() -> int:
-    """Runs the daemon, or the command that the arguments name; returns the exit status."""
+    """Runs the daemon, or the command that the arguments name, and returns the exit status."""
     if len(sys.argv) > 1:
-        from spanwing.cli.main import main as command  # click is loaded only for a command
+        from spanwing.cli.main import main as run_command  # click is loaded only for a command
 
-        return command()
+        return run_command()
     from spanwing.daemon import serve
 
     return serve()
--- a/spanwing/daemon.py
+++ b/spanwing/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: reads its configuration, connects the parts and runs until SIGTERM."""
+"""The scheduler daemon: reads its configuration, starts all components and serves until SIGTERM."""
 
 from __future__ import annotations
 
@@ -63,23 +63,23 @@
     from spanwing.zones.service import ZoneService
 
 HOUR_MS, DAY_MS = 3_600_000.0, 86_400_000.0
-FIRST_LIST_WAIT_S = 1.0  # a start waits so long for the first answer of discovery before it listens
-SHUTDOWN_NOTICE_S = 0.5  # new connections still arrive for this long after SIGTERM
-# SIGKILL follows SIGTERM after at least this or the longest deadline, whichever is less, plus the margin.
+ENDPOINT_LIST_TIMEOUT_S = 1.0  # a start waits this long for an endpoint list before it listens without one
+SHUTDOWN_NOTICE_S = 0.5  # after SIGTERM, new connections are still accepted for this long
+# SIGKILL follows SIGTERM no earlier than min(longest deadline, MAX_DRAIN_DEADLINE_MS) + KILL_MARGIN_MS.
 MAX_DRAIN_DEADLINE_MS, KILL_MARGIN_MS = 3000.0, 700.0
-ANSWER_MARGIN_MS = 400.0
-MAX_REPORTED_ATTEMPTS = 500  # attempts left by a crash that are logged one by one at a start
-MIN_SHARE = 8  # connections of each side while two processes share the limits
-MAX_SETTLING_CHECKS = 100  # checks, 10 ms apart, whether the last outcomes are in the store
+ANSWER_MARGIN_MS = 400.0  # the last answer is due this long before SIGKILL
+MAX_JOURNAL_LOG_LINES = 500  # at a start, for damaged places and for interrupted attempts each
+MIN_CONNECTION_SHARE = 8  # for clients and for workers each, while two processes share the limits
+MAX_SETTLING_CHECKS = 100  # at most 1 s, in checks 10 ms apart, until the last outcomes are in the store
 
 
 class Daemon:
-    """All parts of one scheduler process."""
+    """One scheduler process: its components, their start, reload and shutdown."""
 
     def __init__(self, config: Configuration, loop_meter: MeteredSelector | None = None) -> None:
         self.config, self.is_stopping, self.loop_meter = config, False, loop_meter
         self.balancers: BalancerService | None = None
-        self.last_answer_s = math.inf  # loop time at which the last answer is due
+        self.answer_deadline_s = math.inf  # loop time by which all answers are due; infinite until a shutdown
         self.started = Event()
         self.buffer_pool = BufferPool()
         self.faktory_frontend: FaktoryFrontend | None = None
@@ -90,11 +90,16 @@
         self.fleet_policy: PolicyService | None = None
         self.store_listener: PeerListener | None = None
         self.open_management()
-        table = config.store
-        acceptor = Acceptor(RegisterLog(table.directory) if table.directory else None)
+        store_table = config.store
+        acceptor = Acceptor(RegisterLog(store_table.directory) if store_table.directory else None)
         peers = [Peer(address, self.buffer_pool) for address in config.store_peers.values()]
         self.store = Store(
-            table.member, acceptor, peers, config.seed, table.answer_timeout_ms, tuple(config.store_peers)
+            store_table.member,
+            acceptor,
+            peers,
+            config.seed,
+            store_table.answer_timeout_ms,
+            tuple(config.store_peers),
         )
         if config.store_listen:
             self.store_listener = _open_listener(
@@ -105,10 +110,13 @@
             self.print_address("store", self.store_listener.address)
 
     async def start(self) -> None:
-        """Agrees on the shared settings, then opens the frontends. Raises ConfigurationError."""
+        """Agrees on the shared settings with the store, starts all components and opens the listeners.
+
+        Raises ConfigurationError if a setting is invalid or a listener cannot be opened.
+        """
         config, buffers = self.config, self.buffer_pool
         if config.policy is not None:
-            settings_json = await self.join_policy()
+            settings_json = await self.start_fleet_policy()
         else:
             settings_json = await agree_on_settings(
                 self.store, config.settings_revision, config.settings_json
@@ -118,11 +126,11 @@
         permissions = platform_settings.permissions or PermissionSettings()
         self.request_manager = RequestManager(settings, config.seed, Clock())
         self.open_journal()
-        self.join_zones()
+        self.start_zone_routing()
         if self.fleet_policy is not None:
             self.fleet_policy.attach_request_manager(self.request_manager)
 
-        # An error in it must be reported before this process contacts the predecessor.
+        # Adopted first, so that an invalid descriptor is reported before the predecessor is contacted.
         inherited_socket = (
             None
             if config.inherited_descriptor is None
@@ -163,7 +171,8 @@
         self.request_manager.directory = discovery
         self.request_manager.guard.is_list_stale = discovery.is_stale
         self.request_manager.guard.list_breaks_rule = discovery.breaks_rule
-        # Whatever the scheduler asks for: until the first answer nothing is sent by the persisted list.
+        # The watch starts without an action of the decision module: before the first answer of discovery,
+        # nothing is sent to the workers of the persisted list.
         spread_s = start_spread_s(settings.nodes) if settings.subscribe else 0.0
         discovery.watch(spread_s)
         platform_frontend = PlatformFrontend(
@@ -177,7 +186,7 @@
         if hot_restart is not None:
             await hot_restart.take_over(HotRestartContext(self.request_manager, discovery, self.descriptors))
         with suppress(WaitOver):
-            await discovery.announced.wait(timedelta(seconds=spread_s + FIRST_LIST_WAIT_S))
+            await discovery.announced.wait(timedelta(seconds=spread_s + ENDPOINT_LIST_TIMEOUT_S))
         self.http_server = _open_listener(
             "ROUTER_LISTEN",
             config.listen,
@@ -216,7 +225,7 @@
             )
             self.print_address("faktory", self.faktory_frontend.address)
         if self.fleet_policy is not None:
-            self.fleet_policy.on_policy_change.append(self.update_classes)
+            self.fleet_policy.on_policy_change.append(self.update_service_classes)
         self.open_balancer_listeners(config)
         if hot_restart is not None:
             _open_listener(
@@ -225,17 +234,19 @@
             self.apply_connection_shares()
         self.print_address("clients", self.http_server.address)
         self.started.set()
-        gc.freeze()  # what is loaded now stays; collections skip it
+        gc.freeze()  # objects that exist now live as long as the process; collections skip them
 
-    def update_classes(self, settings: api.Settings) -> None:
-        """Gives the frontends the classes of a new policy."""
+    def update_service_classes(self, settings: api.Settings) -> None:
+        """Passes the service classes of a new policy to the frontends."""
         for frontend in (self.http_server.frontend, self.faktory_frontend):
             if frontend is not None:
                 frontend.service_classes = {each.name: each for each in settings.classes}
 
     def open_management(self) -> None:
-        """Opens the management listener, before all else, so that callers learn that no clients are
-        accepted yet. Raises ConfigurationError.
+        """Opens the management listener, if one is configured.
+
+        It opens before all other listeners, so that it can report during the start that no clients are
+        accepted yet. Raises ConfigurationError if the address cannot be opened.
         """
         address = self.config.management
         if address is not None:
@@ -261,15 +272,17 @@
             self.print_address("management", server.address)
 
     def accepts_clients(self) -> bool:
-        """Returns whether this process accepts clients: it has a list of workers to send by."""
+        """Returns whether this process accepts clients: started, not stopping, with an endpoint list."""
         return self.started.is_set() and not self.is_stopping and self.discovery.announced.is_set()
 
     def open_journal(self) -> None:
-        """Closes what an earlier incarnation left, logs it (500 attempts at most), and records from now on.
-        Raises ConfigurationError.
+        """Opens the journal, if one is configured, and records all requests from now on.
+
+        Logs the damaged places and the attempts that an earlier incarnation left unfinished, at most
+        MAX_JOURNAL_LOG_LINES of each. Raises ConfigurationError if the directory cannot be used.
         """
-        table = self.config.journal
-        if table is None:
+        journal_table = self.config.journal
+        if journal_table is None:
             return
         from spanwing.journal.files import LocalFolder
         from spanwing.journal.segment_log import RetentionLimits, SegmentLog
@@ -277,28 +290,28 @@
 
         loop = IOLoop.current()
         limits = RetentionLimits(
-            int(table.segment_mb * 1e6),
-            table.segment_hours * HOUR_MS,
-            table.keep_days * DAY_MS,
-            int(table.keep_gb * 1e9),
-            {cls: days * DAY_MS for cls, days in table.keep_days_by_class.items()},
+            int(journal_table.segment_mb * 1e6),
+            journal_table.segment_hours * HOUR_MS,
+            journal_table.keep_days * DAY_MS,
+            int(journal_table.keep_gb * 1e9),
+            {class_name: days * DAY_MS for class_name, days in journal_table.keep_days_by_class.items()},
         )
         try:
-            journal_log = SegmentLog(LocalFolder(table.directory), limits)
+            journal_log = SegmentLog(LocalFolder(journal_table.directory), limits)
             self.journal = JournalWriter(
                 journal_log,
-                table.failure_mode,
+                journal_table.failure_mode,
                 self.config.name,
                 loop.add_callback,
-                table.wait_ms / 1000.0,
+                journal_table.wait_ms / 1000.0,
                 loop.call_later,
                 loop.remove_timeout,
             )
         except (OSError, ValueError) as error:
-            fault = getattr(error, "strerror", None) or str(error)
-            raise ConfigurationError(f"journal.directory: {table.directory}: {fault}") from None
+            reason = getattr(error, "strerror", None) or str(error)
+            raise ConfigurationError(f"journal.directory: {journal_table.directory}: {reason}") from None
         self.request_manager.recorder = self.journal
-        for file_name, skipped in journal_log.damaged[:MAX_REPORTED_ATTEMPTS]:
+        for file_name, skipped in journal_log.damaged[:MAX_JOURNAL_LOG_LINES]:
             log_event(
                 "journal_skipped",
                 level="warning",
@@ -312,10 +325,10 @@
         log_event(
             "journal",
             level="warning" if interrupted else "info",
-            directory=table.directory,
+            directory=journal_table.directory,
             possibly_sent=len({request.id for request, _ in interrupted}),
         )
-        for request, attempt in interrupted[:MAX_REPORTED_ATTEMPTS]:
+        for request, attempt in interrupted[:MAX_JOURNAL_LOG_LINES]:
             accepted = request.accepted
             log_event(
                 "possibly_sent",
@@ -331,17 +344,20 @@
                 cls=accepted.cls if accepted else "",
                 tenant=accepted.tenant if accepted else "",
             )
-        if len(interrupted) > MAX_REPORTED_ATTEMPTS:
+        if len(interrupted) > MAX_JOURNAL_LOG_LINES:
             log_event(
                 "possibly_sent_more",
                 level="warning",
-                left_out=len(interrupted) - MAX_REPORTED_ATTEMPTS,
+                left_out=len(interrupted) - MAX_JOURNAL_LOG_LINES,
                 hint="spanwing journal list",
             )
 
-    async def join_policy(self) -> str:
-        """Waits until requests may be accepted under the policy in force in the fleet; returns its settings
-        as JSON. Raises ConfigurationError.
+    async def start_fleet_policy(self) -> str:
+        """Starts this scheduler's part in the fleet's policy, and waits until requests may be accepted under
+        the policy in force.
+
+        Returns the settings of that policy as JSON. Raises ConfigurationError if the policy cache cannot be
+        used.
         """
         from spanwing.policy.policy_cache import PolicyCacheError
         from spanwing.policy.service import PolicyService
@@ -362,9 +378,10 @@
         participant.start()
         return await participant.wait_for_policy()
 
-    def join_zones(self) -> None:
-        """Follows the fleet's zones, and serves them as a member of the store, if the operator's file says
-        so.
+    def start_zone_routing(self) -> None:
+        """Starts routing by the state of zones, if [zones] is configured.
+
+        A process that is also a member of the store serves the state of the zones to the fleet.
         """
         config = self.config
         if config.zones is None:
@@ -384,7 +401,11 @@
         self.zone_routing.start()
 
     def open_balancer_listeners(self, config: Configuration) -> None:
-        """Opens the listeners that the operator's file names. Without any, their code is not loaded."""
+        """Opens the listeners for balancers and the admin socket, as the operator's file names them.
+
+        A reload opens, moves and closes them as needed. While none has been configured, their code is not
+        loaded. Raises ConfigurationError if a listener cannot be opened.
+        """
         balancer_settings = config.balancers
         if self.balancers is None and balancer_settings.listener_count():
             from spanwing.frontends.balancers.service import BalancerService, DaemonLimits, DaemonParts
@@ -414,11 +435,14 @@
                 self.print_address(name, address)
 
     def print_address(self, listener_name: str, address: Address | str) -> None:
-        """Prints the address of a listener on standard output."""
+        """Prints the name and address of a listener on standard output."""
         print(f"spanwing: {listener_name} on {address}", flush=True)
 
     async def reload(self) -> None:
-        """Reads the files again. An invalid one changes nothing: the configuration in use stays."""
+        """Reads both configuration files again and applies the settings that need no restart.
+
+        If a file is invalid or a listener cannot be opened, the configuration in use stays.
+        """
         await self.started.wait()
         try:
             config = load_configuration(previous=self.config)
@@ -435,31 +459,38 @@
             self.discovery.change_discovery(config.discovery)
         self.apply_connection_shares()
         for name in config.changed_restart_settings(previous):
-            print(f"spanwing: {name} has changed: it takes a restart", file=sys.stderr, flush=True)
+            print(
+                f"spanwing: {name} has changed; restart the daemon to apply it", file=sys.stderr, flush=True
+            )
         print(f"spanwing: reloaded, discovery on {config.discovery}", flush=True)
 
     def apply_connection_shares(self) -> None:
-        """Applies the limits on connections after a change of the limits or of the other process of a hot
-        restart.
+        """Applies the connection limits, after a change of the limits or of the connections that the other
+        process of a hot restart holds.
         """
         if self.http_server is None:
             return
-        hot_restart, table = self.hot_restart, self.http_server.table
+        hot_restart, connection_table = self.hot_restart, self.http_server.table
         is_shared = hot_restart is not None and hot_restart.has_peer()
         shares = self.config.connection_shares(1 + is_shared)
         if self.faktory_frontend is not None:
             self.faktory_frontend.table.max_connections = shares.faktory
-        # The successor's connections come out of the limit of this process, one by one.
+        # A predecessor keeps its limit. The successor's limit is what the predecessor's connections leave
+        # free, and grows by one with each connection that it takes over.
         if is_shared and hot_restart.successor is not None:
-            table.trim(shares.clients - MIN_SHARE)
-            self.descriptors.set_limit(max(MIN_SHARE, shares.workers // 2))
+            connection_table.trim(shares.clients - MIN_CONNECTION_SHARE)
+            self.descriptors.set_limit(max(MIN_CONNECTION_SHARE, shares.workers // 2))
             return
-        handed_over = hot_restart.predecessor_counts if is_shared else None
-        table.max_connections = (
-            max(MIN_SHARE, shares.clients - handed_over.client_connections) if handed_over else shares.clients
+        predecessor_counts = hot_restart.predecessor_counts if is_shared else None
+        connection_table.max_connections = (
+            max(MIN_CONNECTION_SHARE, shares.clients - predecessor_counts.client_connections)
+            if predecessor_counts
+            else shares.clients
         )
         self.descriptors.set_limit(
-            max(MIN_SHARE, shares.workers - handed_over.worker_connections) if handed_over else shares.workers
+            max(MIN_CONNECTION_SHARE, shares.workers - predecessor_counts.worker_connections)
+            if predecessor_counts
+            else shares.workers
         )
         self.http_server.set_sharing(is_shared)
 
@@ -486,59 +517,65 @@
         print("counters", msgspec.json.encode(self.collect_counters()).decode(), flush=True)
 
     def remaining_ms(self) -> float:
-        """Returns how many ms a request that arrives now may take."""
-        remaining_s = self.last_answer_s - IOLoop.current().time()
+        """Returns how long (ms) a request that arrives now may take; infinite unless this process drains."""
+        remaining_s = self.answer_deadline_s - IOLoop.current().time()
         if self.balancers is not None:
             remaining_s = min(remaining_s, self.balancers.reporter.remaining_s())
         return remaining_s * 1000.0
 
     def answer_window_s(self) -> float:
-        """Returns how many seconds after SIGTERM an answer is certainly in time."""
+        """Returns how long (s) after SIGTERM an answer is certain to be sent before SIGKILL."""
         longest_ms = max(each.deadline for each in self.request_manager.settings.classes)
         return (min(longest_ms, MAX_DRAIN_DEADLINE_MS) + KILL_MARGIN_MS - ANSWER_MARGIN_MS) / 1000.0
 
-    async def wait_until_settled(self) -> None:
-        """Waits until no client is owed an answer, including requests that have not been read yet."""
+    async def wait_until_all_answered(self) -> None:
+        """Waits until all requests are answered, including those that have not been read yet."""
         while self.http_server.owes_answers() or not self.request_manager.is_idle():
             await self.request_manager.wait_until_idle()
             await sleep(0.01)
 
     async def shut_down(self) -> None:
-        """Accepts new connections for a while, answers all accepted requests, then stops the loop."""
+        """Accepts new connections for the notice period, answers all accepted requests, then stops the
+        event loop.
+        """
         if self.is_stopping:
             return
         self.is_stopping = True
-        if not self.started.is_set():  # nothing accepted yet, and waiting for a majority may not end
+        if not self.started.is_set():  # no request is accepted yet; the wait for a majority may never end
             IOLoop.current().stop()
             return
         started_s, notice_s = IOLoop.current().time(), SHUTDOWN_NOTICE_S
         if self.hot_restart is not None and self.hot_restart.has_transferred_state:
-            self.last_answer_s = started_s + self.answer_window_s()
+            self.answer_deadline_s = started_s + self.answer_window_s()
             if await self.hot_restart.transfer_connections():  # new connections go to the successor
                 started_s, notice_s = IOLoop.current().time(), 0.0
         if self.balancers is not None:
-            # Balancers have to learn of the drain before connections are rejected; the notice of an earlier
-            # order counts.
+            # Balancers must learn of the drain before connections are rejected. Where an earlier order began
+            # the drain, its notice is not started again.
             self.balancers.reporter.drain("signal")
             notice_s = max(notice_s, self.balancers.reporter.health.drain_orders.notice_ends_at_s - started_s)
         await sleep(notice_s)
-        # Requests from here on must be answered before SIGKILL, or they would be lost.
-        self.last_answer_s = min(
-            self.last_answer_s, started_s + notice_s - SHUTDOWN_NOTICE_S + self.answer_window_s()
+        # A request that is accepted from here on must be answered before SIGKILL, or it would be lost.
+        self.answer_deadline_s = min(
+            self.answer_deadline_s, started_s + notice_s - SHUTDOWN_NOTICE_S + self.answer_window_s()
         )
         self.http_server.drain()
         if self.faktory_frontend is not None:
             self.faktory_frontend.is_draining = True
-        await self.wait_until_settled()
+        await self.wait_until_all_answered()
         self.http_server.stop_listening()
-        await self.wait_until_settled()
+        await self.wait_until_all_answered()
         if self.faktory_frontend is not None:
             for _ in range(MAX_SETTLING_CHECKS):
                 if not self.faktory_frontend.claims.settling_count:
                     break
                 await sleep(0.01)
         if self.journal is not None and not self.journal.close():
-            log_event("journal", level="error", reason="not all that was to be written down is on disk")
+            log_event(
+                "journal",
+                level="error",
+                reason="not all records could be written to disk before the shutdown",
+            )
         if self.balancers is not None:
             self.balancers.listeners.close()
         if self.hot_restart is not None:
@@ -554,6 +591,7 @@
 
 
 def _open_listener(setting: str, address: Address | int | str, factory):
+    """Returns factory(address); raises ConfigurationError that names the setting if this cannot listen."""
     try:
         return factory(address)
     except OSError as error:
@@ -561,8 +599,9 @@
 
 
 def run() -> None:
-    """Runs the daemon until it is stopped. Raises ConfigurationError, or RegisterLogError for the store's
-    log.
+    """Runs the daemon until it is stopped.
+
+    Raises ConfigurationError, or RegisterLogError if the directory of the store cannot be used.
     """
     config = load_configuration()
     loop_meter = install_metered_loop() if config.balancers.listener_count() else None
@@ -570,30 +609,31 @@
     if config.log.log_format != "plain":
         EVENT_LOG.open(config.log.log_format, config.log.max_per_second, {"name": config.name})
     daemon = Daemon(config, loop_meter)
-    # By default these signals end the process; one that arrives early is deferred until the loop runs.
+    # The default action of these signals ends the process. The handlers replace it before the start, and a
+    # signal that arrives during the start is handled once the loop runs.
     signal.signal(signal.SIGHUP, lambda *_: loop.add_callback_from_signal(daemon.reload))
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: loop.add_callback_from_signal(daemon.shut_down))
     signal.signal(signal.SIGUSR1, lambda *_: loop.add_callback_from_signal(daemon.print_counters))
-    wrong: list[ConfigurationError] = []
+    start_errors: list[ConfigurationError] = []
 
     async def start() -> None:
         try:
             await daemon.start()
         except ConfigurationError as error:
-            wrong.append(error)
+            start_errors.append(error)
             loop.stop()
 
     loop.add_callback(start)
     loop.start()
     EVENT_LOG.close()
-    if wrong:
-        raise wrong[0]
+    if start_errors:
+        raise start_errors[0]
     daemon.print_counters()
 
 
 def serve() -> int:
-    """Runs the daemon until SIGTERM; returns the exit status: 0, or 2 after an error of the configuration."""
+    """Runs the daemon until SIGTERM; returns the exit status: 0, or 2 after a configuration error."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(message)s")
     try:
         run()
