--- a/spanwing/cli/check.py
+++ b/spanwing/cli/check.py
@@ -10,7 +10,7 @@
     MIN_CORES,
     MIN_MEMORY_MB,
     MIN_SOCKETS,
-    SOCKETS_PER_CHECK_LISTENER,
+    SOCKETS_PER_BALANCER_LISTENER,
     load_configuration,
     read_operator_file,
 )
@@ -32,7 +32,7 @@
 REMEDIES = (
     (
         r"limits\.sockets",
-        f"give it {MIN_SOCKETS}, and {SOCKETS_PER_CHECK_LISTENER} for each listener for balancers",
+        f"give it {MIN_SOCKETS}, and {SOCKETS_PER_BALANCER_LISTENER} for each listener for balancers",
     ),
     (r"limits\.memory_mb", f"give it {MIN_MEMORY_MB} MB or more"),
     (r"limits\.cores", f"give it {MIN_CORES} of a core or more"),
--- a/spanwing/config.py
+++ b/spanwing/config.py
@@ -1,4 +1,10 @@
-"""Reads the daemon's configuration: the platform's file and the operator's file."""
+"""Reads the daemon's configuration: the platform's file, the operator's file and the environment.
+
+The platform's file (JSON, named by ROUTER_CONFIG) holds the settings of the scheduler, its addresses and its
+resource limits; ROUTER_LISTEN, ROUTER_DISCOVERY, ROUTER_MANAGEMENT and ROUTER_NAME override it. The
+operator's file (TOML, named by SPANWING_FRONTS) configures the additional listeners, the log, the store, the
+journal, zones and the fleet's policy.
+"""
 
 from __future__ import annotations
 
@@ -35,19 +41,19 @@
 )
 from spanwing.settings import SETTING_NAMES, PlatformSettings, scheduler_settings
 
-RESERVED_SOCKETS = 28  # listeners, logs, the loop, discovery, members of the store
+RESERVED_SOCKETS = 28  # for listeners, logs, the event loop, discovery and the members of the store
 MAX_MANAGEMENT_CONNECTIONS = 16  # concurrent connections to the management address
-SOCKETS_PER_CHECK_LISTENER = 13  # a listener for balancers, with its connections
-MIN_SOCKETS = 64
-MIN_CONNECTION_SOCKETS = 16  # descriptors for connections, whatever else needs some
-BASE_MEMORY_MB = 24  # without open connections
-SECOND_PROCESS_SOCKETS, SECOND_PROCESS_MEMORY_MB = 12, 18  # needs of a second process, as measured
-MIN_MEMORY_MB = 32
-CONNECTION_MEMORY_KB = 112  # head, body, read and write buffers at their largest
-MIN_CONNECTIONS = 32
-MIN_CORES = 0.05
-
-#: By field of Configuration, the settings that take a restart to change.
+SOCKETS_PER_BALANCER_LISTENER = 13  # for a listener for balancers with its connections
+MIN_SOCKETS = 64  # least valid limits.sockets without listeners for balancers
+MIN_CONNECTION_SOCKETS = 16  # least descriptors for connections, even if more are reserved than the limit
+BASE_MEMORY_MB = 24  # of a process without open connections
+SECOND_PROCESS_SOCKETS, SECOND_PROCESS_MEMORY_MB = 12, 18  # for the second process of a hot restart
+MIN_MEMORY_MB = 32  # least valid limits.memory_mb
+CONNECTION_MEMORY_KB = 112  # head, body, read buffer and write buffer at their maximum sizes
+MIN_CONNECTIONS = 32  # least limit on connections by memory
+MIN_CORES = 0.05  # least valid limits.cores
+
+#: Fields of Configuration that change only with a restart, and the setting that is reported for each.
 RESTART_ONLY_SETTINGS = {
     "listen": "listen",
     "management": "management",
@@ -63,7 +69,7 @@
 
 
 class ResourceLimits(msgspec.Struct):
-    """The limits of the process: descriptors, memory in MB and cores."""
+    """Resource limits of the process: descriptors, memory in MB and CPU cores."""
 
     sockets: int = 1024
     memory_mb: float = 192
@@ -71,7 +77,7 @@
 
 
 class ConnectionShares(msgspec.Struct):
-    """How many connections each side may hold, within the limits on descriptors and memory together."""
+    """Maximum numbers of connections from HTTP clients, from Faktory clients and to workers."""
 
     clients: int
     faktory: int
@@ -79,10 +85,10 @@
 
 
 class PlatformFile(msgspec.Struct):
-    """The file named by ROUTER_CONFIG."""
+    """The platform's file, named by ROUTER_CONFIG."""
 
     settings: msgspec.Raw
-    # The store holds the settings of the highest revision.
+    # All members of the store use the settings with the highest revision.
     settings_revision: int = msgspec.field(default=0, name="revision")
     name: str = ""
     listen: str = ""
@@ -94,12 +100,12 @@
 
 
 class Configuration(msgspec.Struct):
-    """Both files, checked and translated."""
+    """The validated configuration from both files and the environment."""
 
     name: str
     listen: Address
     discovery: Address
-    # `discovery` as in the file, whatever the environment says.
+    # `discovery` of the platform's file, even where the environment overrides it.
     file_discovery: str = msgspec.field(name="told")
     seed: int
     limits: ResourceLimits
@@ -109,7 +115,7 @@
     platform_settings: PlatformSettings = msgspec.field(name="options")
     settings: api.Settings
     management: Address | None
-    # Descriptor of a listening socket that the platform holds open.
+    # Descriptor of the listening socket that the platform holds open across hot restarts.
     inherited_descriptor: int | None = msgspec.field(name="shared")
     faktory: Address | None
     balancers: BalancerSettings
@@ -123,15 +129,17 @@
     policy: PolicyConfiguration | None
 
     def connection_shares(self, process_count: int = 1) -> ConnectionShares:
-        """Computes how many connections each side may hold.
+        """Computes the maximum numbers of connections within the limits on descriptors and memory.
 
-        Clients get half of the free descriptors at most, while they are told to hold a third of all.
+        Clients get at most half of the free descriptors. This leaves a margin, as the platform tells clients
+        to hold at most a third of all descriptors.
 
-        process_count: the processes that share the limits now; the result is for all of them together.
+        process_count: the number of processes that share the limits now; the result holds for all of them
+        together.
         """
         reserved_sockets = (
             RESERVED_SOCKETS
-            + SOCKETS_PER_CHECK_LISTENER * self.balancers.listener_count()
+            + SOCKETS_PER_BALANCER_LISTENER * self.balancers.listener_count()
             + (process_count - 1) * SECOND_PROCESS_SOCKETS
         )
         if self.management:
@@ -146,7 +154,7 @@
         return ConnectionShares(client_sockets - faktory, faktory, free_sockets - client_sockets)
 
     def changed_restart_settings(self, previous: Configuration) -> list[str]:
-        """Returns the settings that differ from the previous ones and take effect only after a restart."""
+        """Returns the changed settings that take effect only after a restart, by their outer names."""
         return [
             setting
             for name, setting in RESTART_ONLY_SETTINGS.items()
@@ -155,10 +163,10 @@
 
 
 def read_file(path: str, setting: str, struct_type: type, decode: Any, errors: ErrorCollector) -> Any:
-    """Decodes a file into its Struct; each error is a plain line that names file, setting and place.
+    """Decodes a file into struct_type and returns the value.
 
-    Returns None if the file cannot be read or nothing of it is valid, and errors are collected; raises
-    ConfigurationError for the first error otherwise.
+    If errors are collected, invalid settings are left out of the value, and it is None if the file cannot be
+    read or nothing valid remains. Otherwise raises ConfigurationError for the first error.
     """
     try:
         data = Path(path).read_bytes()
@@ -168,7 +176,7 @@
     try:
         return decode(data, type=struct_type)
     except (ValueError, UnicodeDecodeError) as error:
-        # Decoding reports only the first error; to collect all of them, each value is checked.
+        # The decoder reports only the first error. To collect all of them, each value is checked on its own.
         if not errors.collects_all:
             errors.add_error(setting, f"{path}: {error}")
         from spanwing.schema_validation import find_all_errors
@@ -182,8 +190,11 @@
 def parse_settings(
     text: str, own_settings: PlatformSettings | None = None, errors: ErrorCollector | None = None
 ) -> tuple[PlatformSettings, api.Settings] | None:
-    """Decodes the settings object; number and zone of this member come from its own file. Returns None if
-    there are errors and they are collected; raises ConfigurationError otherwise.
+    """Decodes the settings object and converts it for the decision module.
+
+    own_settings: the settings of this scheduler's own file, whose position and zone replace those of the
+    shared settings. Returns None if a setting is invalid and errors are collected; otherwise raises
+    ConfigurationError.
     """
     errors = errors or ErrorCollector()
     platform_settings = errors.run_check(
@@ -195,7 +206,7 @@
         platform_settings.node_index, platform_settings.zone = own_settings.node_index, own_settings.zone
     try:
         return platform_settings, scheduler_settings(platform_settings)
-    except api.SettingsError as error:  # with the scheduler's names of settings
+    except api.SettingsError as error:  # its lines begin with the decision module's names of settings
         for message_line in error.faults:
             name, _, message = message_line.partition(": ")
             errors.add_error(f"settings.{SETTING_NAMES.get(name, name)}", message)
@@ -207,10 +218,10 @@
     previous: Configuration | None = None,
     errors: ErrorCollector | None = None,
 ) -> Configuration | None:
-    """Reads both files.
+    """Reads and checks both files and the environment.
 
-    previous: the configuration in use, for a reload. Raises ConfigurationError for the first error; if
-    errors collects all of them, returns None if there are any.
+    previous: the configuration in use, for a reload. errors: where to collect all errors; the result is None
+    if there are any. Without it, raises ConfigurationError for the first error.
     """
     errors = errors or ErrorCollector()
     path = environment.get("ROUTER_CONFIG")
@@ -240,17 +251,18 @@
     }
     if platform is None:
         return None
-    settings = parse_settings(bytes(platform.settings).decode(), errors=errors)
-    if journal is not None and settings is not None:
+    settings_pair = parse_settings(bytes(platform.settings).decode(), errors=errors)
+    if journal is not None and settings_pair is not None:
         for class_name in sorted(
-            set(journal.keep_days_by_class) - {each.name for each in settings[1].classes}
+            set(journal.keep_days_by_class) - {each.name for each in settings_pair[1].classes}
         ):
             errors.add_error(f"journal.keep_days_of.{class_name}", "no class has this name")
-    if zones is not None and settings is not None:
+    if zones is not None and settings_pair is not None:
         for region, names in zones.regions.items():
-            for name in sorted(set(names) - set(settings[1].zones)):
+            for name in sorted(set(names) - set(settings_pair[1].zones)):
                 errors.add_error(f"zones.regions.{region}", f"{name!r} is no zone of the settings")
-    # The environment dates from the start of the process: an address changed in the file since then is newer.
+    # The environment stays as it was when the process started. An address that has changed in the file since
+    # the previous load is therefore newer and wins; else a reload keeps the address in use.
     uses_file_discovery = (
         previous is not None and platform.discovery and platform.discovery != previous.file_discovery
     )
@@ -273,7 +285,7 @@
     )
     seed = run_check("seed", lambda text: int(text, 16), platform.seed)
     limits = platform.limits
-    min_sockets = MIN_SOCKETS + SOCKETS_PER_CHECK_LISTENER * balancers.listener_count()
+    min_sockets = MIN_SOCKETS + SOCKETS_PER_BALANCER_LISTENER * balancers.listener_count()
     for name, minimum in (("sockets", min_sockets), ("memory_mb", MIN_MEMORY_MB), ("cores", MIN_CORES)):
         run_check(f"limits.{name}", partial(_check_minimum, minimum), getattr(limits, name))
     if errors.errors:
@@ -290,8 +302,8 @@
         known_endpoints=platform.known_endpoints,
         settings_revision=platform.settings_revision,
         settings_json=bytes(platform.settings).decode(),
-        platform_settings=settings[0],
-        settings=settings[1],
+        platform_settings=settings_pair[0],
+        settings=settings_pair[1],
         faktory=faktory_address,
         balancers=balancers,
         proxy_protocol=proxy_protocol,
@@ -306,8 +318,9 @@
 
 
 def read_operator_file(path: str | None, errors: ErrorCollector) -> OperatorFile | None:
-    """Reads the file that SPANWING_FRONTS names, or else the repository's own; without either, the
-    defaults.
+    """Reads the operator's file at this path, or DEFAULT_OPERATOR_FILE without one.
+
+    Returns the defaults if there is neither, and None if the file is invalid and errors are collected.
     """
     if path is None and not DEFAULT_OPERATOR_FILE.exists():
         return OperatorFile()
--- a/spanwing/config_errors.py
+++ b/spanwing/config_errors.py
@@ -1,4 +1,4 @@
-"""Errors of a configuration: the first one raised, or all of them collected."""
+"""The error of a configuration, and the collector that raises the first error or collects all of them."""
 
 from __future__ import annotations
 
@@ -7,19 +7,20 @@
 
 
 class ConfigurationError(Exception):
-    """A configuration error: one plain line that names the setting."""
+    """An error in the configuration; the text is one line that begins with the setting."""
 
 
 class ErrorCollector:
-    """Raises the first error as a ConfigurationError; with collects_all, collects all and continues."""
+    """Raises ConfigurationError for the first error, or collects all errors if collects_all is set."""
 
     def __init__(self, collects_all: bool = False) -> None:
         self.collects_all = collects_all
         self.errors: list[tuple[str, str]] = []  # setting and message
 
     def add_error(self, setting: str, message: str) -> None:
-        """Adds an error of a setting, once if it repeats. Raises ConfigurationError unless all errors are
-        collected.
+        """Adds an error of a setting, unless the same error was added before.
+
+        Raises ConfigurationError if errors are not collected.
         """
         if not self.collects_all:
             raise ConfigurationError(f"{setting}: {message}")
@@ -27,8 +28,9 @@
             self.errors.append((setting, message))
 
     def run_check(self, setting: str, converter: Callable[[Any], Any], value: Any) -> Any:
-        """Returns the converted value, or None if the converter raises ValueError and errors are collected.
-        Raises ConfigurationError otherwise.
+        """Returns converter(value). A ValueError of the converter becomes an error of the setting.
+
+        Returns None after an error if errors are collected; otherwise raises ConfigurationError.
         """
         try:
             return converter(value)
--- a/spanwing/schema_validation.py
+++ b/spanwing/schema_validation.py
@@ -1,7 +1,7 @@
-"""Finds all errors in the values of a file at once, where decoding stops at the first.
+"""Validates a decoded file against its type and finds all errors, where msgspec reports only the first.
 
-A valid place is never reported, and an invalid file yields at least one place. Loaded only by `spanwing
-check`.
+Valid values are never reported, and an invalid file yields at least one error. `spanwing check` and the
+scenarios of the simulation use it; the daemon, which stops at the first error, never loads it.
 """
 
 from __future__ import annotations
@@ -14,14 +14,18 @@
 import msgspec
 import msgspec.inspect
 
-# Constraints of the plain types.
+# Constraints of msgspec.Meta that apply to plain types.
 CONSTRAINT_NAMES = ("gt", "ge", "lt", "le", "multiple_of", "min_length", "max_length", "pattern")
-MAX_ROUNDS = 32  # a struct's own check runs only once its values are valid
+# A struct's own check (__post_init__) runs only once its fields are valid, and stops at its first error: each
+# round removes the values found invalid so far and validates again.
+MAX_ROUNDS = 32
 
 
 def find_all_errors(data: bytes, struct_type: type, decode: Any) -> tuple[Any, list[tuple[str, str]]]:
-    """Returns the decoded value without its invalid places (None if nothing remains), and each invalid
-    place of the file with its message; an empty place stands for the entire file.
+    """Decodes data as struct_type and returns the value and its errors, as pairs of path and message.
+
+    Invalid fields are left out of the value; it is None if the rest is invalid without them. A path has the
+    form "table.key"; an empty path stands for the entire file.
     """
     try:
         value = decode(data)
@@ -33,42 +37,43 @@
         errors += round_errors
         if not round_errors:
             return _convert(value, struct_type), errors
-        if not all(_remove_path(value, place) for place, _ in round_errors):
+        if not all(_remove_path(value, path) for path, _ in round_errors):
             break
     return None, errors
 
 
 def _convert(value: Any, target_type: Any) -> Any:
-    """Converts by way of JSON: fields that a struct keeps as raw text cannot be converted from values."""
+    """Converts a value to a type through JSON, since msgspec.convert does not support fields of type Raw."""
     return msgspec.json.decode(msgspec.json.encode(value), type=target_type)
 
 
 def _remove_path(value: Any, path: str) -> bool:
-    """Removes a place from the value; returns whether it was there."""
-    *parents, last = path.split(".")
-    for each in parents:
-        value = value.get(each) if isinstance(value, dict) else None
-    if not isinstance(value, dict) or last not in value:
+    """Removes the value at this path; returns whether there was one."""
+    *parent_keys, last_key = path.split(".")
+    for key in parent_keys:
+        value = value.get(key) if isinstance(value, dict) else None
+    if not isinstance(value, dict) or last_key not in value:
         return False
-    del value[last]
+    del value[last_key]
     return True
 
 
 def _find_errors(value: Any, type_info: Any, path: str) -> Iterator[tuple[str, str]]:
+    """Yields the errors of a value and of all values below it, as pairs of path and message."""
     has_errors = False
     if isinstance(type_info, msgspec.inspect.UnionType):
         type_info = next(
             (each for each in type_info.types if isinstance(each, msgspec.inspect.StructType)), type_info
         )
     if isinstance(type_info, msgspec.inspect.StructType) and isinstance(value, dict):
-        fields = {each.encode_name: each for each in type_info.fields}
-        for name, each in fields.items():
+        fields = {field.encode_name: field for field in type_info.fields}
+        for name, field in fields.items():
             field_path = f"{path}.{name}" if path else name
-            if name in value and not isinstance(each.type, msgspec.inspect.RawType):
-                for error in _find_errors(value[name], each.type, field_path):
+            if name in value and not isinstance(field.type, msgspec.inspect.RawType):
+                for error in _find_errors(value[name], field.type, field_path):
                     has_errors = True
                     yield error
-            elif name not in value and each.required:
+            elif name not in value and field.required:
                 has_errors = True
                 yield field_path, "is missing"
         for name in set(value) - set(fields) if type_info.forbid_unknown_fields else ():
@@ -78,7 +83,7 @@
         try:
             _convert(value, _python_type(type_info))
         except ValueError as error:
-            # The own check of a struct names the field that it rejects.
+            # The message of a struct's own check begins with the field that it rejects.
             name, colon, message = str(error).partition(": ")
             if (
                 colon
@@ -91,7 +96,7 @@
 
 
 def _python_type(type_info: Any) -> Any:
-    """Returns the Python type of a type description, for the conversion of a single value."""
+    """Returns the Python type that a msgspec type description stands for, to convert a single value."""
     inspect = msgspec.inspect
     match type_info:
         case inspect.UnionType():
