--- a/spanwing/operator_file.py
+++ b/spanwing/operator_file.py
@@ -1,6 +1,8 @@
-"""The operator's own file under deploy/: what listens besides the platform's frontend, and how.
+"""The operator's file (deploy/fronts.toml by default): its tables, their checks and the checked settings.
 
-Everything is off unless its table is there. An error is a ConfigurationError that names the setting.
+It configures all listeners besides the platform's, and the log, store, journal, zones and policy. A feature
+without a table is off, except the log and a standalone store in memory, which have defaults. The check
+functions report each error with the name of its setting to an ErrorCollector.
 """
 
 from __future__ import annotations
@@ -21,50 +23,52 @@
 
 DEFAULT_OPERATOR_FILE = Path(__file__).parent.parent / "deploy" / "fronts.toml"
 PROXY_PROTOCOL_LISTENERS = ("clients", "faktory", "health")
-MAX_AWAY_MS = 86_400_000.0
-MIN_LEASE_MS, MAX_LEASE_MS = 1500.0, 60_000.0  # three renewals at least
-MAX_SOCKET_PATH_BYTES = 100  # the kernel limits the path of a Unix socket to 108 bytes
+MAX_AWAY_MS = 86_400_000.0  # one day
+MIN_LEASE_MS, MAX_LEASE_MS = 1500.0, 60_000.0  # the shortest lease leaves time for three renewals
+MAX_SOCKET_PATH_BYTES = 100  # Linux limits the path of a Unix socket to 108 bytes
 
 
 class ListenerTable(msgspec.Struct, forbid_unknown_fields=True):
-    """A frontend that listens."""
+    """The table of a frontend with a listen address."""
 
     listen: str
 
 
 class AgentTable(msgspec.Struct, forbid_unknown_fields=True):
-    """HAProxy's agent-check."""
+    """The table [agent_check]: the listener for the agent-check of HAProxy."""
 
     listen: str
-    # Report how many requests are accepted at once.
+    # Whether replies report the maximum number of concurrent requests (`maxconn:`).
     reports_maxconn: bool = msgspec.field(default=False, name="maxconn")
-    # Wait for a line of `agent-send` that names a class.
+    # Whether to wait for the line of `agent-send`, which names a class, before a reply.
     expects_class_name: bool = msgspec.field(default=False, name="asks")
 
 
 class AdminTable(msgspec.Struct, forbid_unknown_fields=True):
-    """The Unix socket of the command line."""
+    """The table [admin]: the Unix socket on which the daemon takes commands of the command line."""
 
     socket: str
 
 
 class ProxyTable(msgspec.Struct, forbid_unknown_fields=True):
-    """The PROXY protocol: on these frontends, and only from these addresses."""
+    """The table [proxy]: the frontends that accept the PROXY protocol, and the addresses of its senders."""
 
     fronts: list[str]
     sources: list[str]
 
 
 class LogTable(msgspec.Struct, forbid_unknown_fields=True):
-    """The log: its format and the rate of each event's lines."""
+    """The table [log]: the log format and the rate limit of each event."""
 
     log_format: LogFormat = msgspec.field(default="plain", name="form")
-    # Lines of one event; a burst may have four times as many.
+    # Lines per second of one event; a burst may have four times as many.
     max_per_second: float = msgspec.field(default=5.0, name="per_second")
 
 
 class StoreTable(msgspec.Struct, forbid_unknown_fields=True):
-    """This member of the store; without a directory the store is in memory and standalone."""
+    """The table [store]: this member of the store and its peers. Without a directory, the store is in memory
+    and standalone.
+    """
 
     member: str = "alone"
     directory: str = ""
@@ -74,22 +78,23 @@
 
 
 class JournalTable(msgspec.Struct, forbid_unknown_fields=True):
-    """The journal of work that must not run twice."""
+    """The table [journal]: the journal of non-idempotent requests, and its retention limits."""
 
     directory: str
+    # Whether requests that need the journal are refused or served while it cannot be written.
     failure_mode: Literal["refuse", "serve"] = msgspec.field(default="refuse", name="when_failing")
-    wait_ms: float = 250.0  # longest wait of an attempt for its intent to be on disk
+    wait_ms: float = 250.0  # how long an attempt waits at most until its intent is on disk
     segment_mb: float = 16.0
     segment_hours: float = 1.0
     keep_days: float = 90.0
     keep_gb: float = 4.0
-    # Where a class differs from keep_days.
+    # Overrides keep_days for single classes.
     keep_days_by_class: dict[str, float] = msgspec.field(default={}, name="keep_days_of")
 
 
 class ZonesTable(msgspec.Struct, forbid_unknown_fields=True):
-    """How schedulers leave and return to zones: together, by the members of a store that all of them
-    follow, or each standalone, by its own evidence.
+    """The table [zones]: who decides when zones are left and returned to. The members of a store decide for
+    all schedulers, or this scheduler decides standalone, by its own evidence.
     """
 
     members: dict[str, str] = {}
@@ -99,14 +104,15 @@
 
 
 class PolicyTable(msgspec.Struct, forbid_unknown_fields=True):
-    """One policy for the whole fleet, by the members that [zones] names."""
+    """The table [policy]: one policy for the whole fleet, kept by the members that [zones] lists."""
 
     directory: str
-    away_ms: float = 10_000.0  # a scheduler continues so long without contact, also after a start
+    # How long a scheduler continues without contact to the members, also after a start.
+    away_ms: float = 10_000.0
 
 
 class OperatorFile(msgspec.Struct, forbid_unknown_fields=True):
-    """The file as it is written."""
+    """The operator's file as it is written."""
 
     faktory: ListenerTable | None = None
     health: ListenerTable | None = None
@@ -124,7 +130,7 @@
 
 
 class AgentCheckSettings(msgspec.Struct, frozen=True):
-    """The settings of the agent-check, checked."""
+    """The checked settings of the agent-check."""
 
     listen: Address
     reports_maxconn: bool = msgspec.field(name="maxconn")
@@ -132,7 +138,7 @@
 
 
 class BalancerSettings(msgspec.Struct, frozen=True):
-    """What is reported to balancers and to the operator, and where; a reload applies all of it."""
+    """The checked settings of the health reports and the admin socket; a reload applies all of them."""
 
     health: Address | None = None
     agent_check: AgentCheckSettings | None = msgspec.field(default=None, name="agent")
@@ -142,14 +148,14 @@
     health_policy: HealthSettings = msgspec.field(name="policy", default_factory=HealthSettings)
 
     def listener_count(self) -> int:
-        """Returns how many protocols are open."""
+        """Returns the number of configured listeners."""
         return sum(
             bool(each) for each in (self.health, self.agent_check, self.feedback, self.grpc, self.admin)
         )
 
 
 class ZonesConfiguration(msgspec.Struct, frozen=True):
-    """The settings of the fleet's zones, checked."""
+    """The checked settings of the fleet's zones."""
 
     members: dict[str, Address]
     regions: dict[str, tuple[str, ...]]
@@ -157,7 +163,7 @@
 
 
 class PolicyConfiguration(msgspec.Struct, frozen=True):
-    """The settings of the fleet's policy, checked."""
+    """The checked settings of the fleet's policy."""
 
     directory: str
     away_ms: float
@@ -166,13 +172,13 @@
 
 
 class ProxyProtocolSettings(msgspec.Struct, frozen=True):
-    """Where the PROXY protocol is spoken, and by whom."""
+    """The checked settings of the PROXY protocol: listeners that accept it, and its source networks."""
 
     listeners: frozenset[str] = msgspec.field(default=frozenset(), name="fronts")
     sources: tuple[Network, ...] = ()
 
     def sources_for(self, listener: str) -> tuple[Network, ...]:
-        """Returns the addresses that send a header to this listener; all others send none."""
+        """Returns the source networks whose connections to this listener begin with a PROXY header."""
         return self.sources if listener in self.listeners else ()
 
 
@@ -200,7 +206,7 @@
 
 
 def parse_listen_address(name: str, table: Any, errors: ErrorCollector) -> Address | None:
-    """Parses the listen address of a table; returns None without a table."""
+    """Returns the listen address of the table with this name, or None without a table."""
     return errors.run_check(f"{name}.listen", parse_address, table.listen) if table else None
 
 
@@ -213,13 +219,13 @@
         if each not in PROXY_PROTOCOL_LISTENERS:
             errors.add_error("proxy.fronts", f"{each!r} is none of {', '.join(PROXY_PROTOCOL_LISTENERS)}")
     if not table.sources:
-        errors.add_error("proxy.sources", "no address is listed, so no balancer could speak it")
+        errors.add_error("proxy.sources", "no source is listed, so no balancer could use the PROXY protocol")
     sources = [errors.run_check("proxy.sources", ipaddress.ip_network, each) for each in table.sources]
     return ProxyProtocolSettings(frozenset(table.fronts), tuple(each for each in sources if each is not None))
 
 
 def check_log(table: LogTable, errors: ErrorCollector) -> LogTable:
-    """Checks the log table: 0.1 to 10000 lines of an event per second."""
+    """Checks the log table: 0.1 to 10000 lines per second, and the package that the format needs."""
     if not 0.1 <= table.max_per_second <= 10_000:
         errors.add_error("log.per_second", f"{table.max_per_second} is not possible, 0.1 to 10000 are")
     if table.log_format != "plain":
@@ -228,21 +234,25 @@
 
 
 def check_store(table: StoreTable, errors: ErrorCollector) -> StoreTable:
-    """Checks the store table: peers need a directory and a listener."""
+    """Checks the store table: a member with peers needs a directory and a listener."""
     if table.peers and not table.directory:
-        # A member that forgets its promises can let two proposers win.
+        # A member that loses its promises in a restart could let two proposers win.
         errors.add_error("store.directory", "needed where store.peers are listed")
     if table.peers and not table.listen:
         errors.add_error("store.listen", "needed where store.peers are listed")
     if table.answer_timeout_ms <= 0:
         errors.add_error("store.answer_ms", f"{table.answer_timeout_ms} is not possible")
     if table.member in table.peers:
-        errors.add_error("store.peers", f"{table.member!r} is this member itself")
+        errors.add_error(
+            "store.peers", f"{table.member!r} is this member's own name; list only the other members"
+        )
     return table
 
 
 def check_journal(table: JournalTable | None, errors: ErrorCollector) -> JournalTable | None:
-    """Checks the journal table: an absolute directory, bounds of all numbers, room for two segments."""
+    """Checks the journal table: an absolute directory, the bounds of all numbers, and space for two
+    segments.
+    """
     if table is None:
         return None
     _require_package("journal", "google_crc32c", errors)
@@ -274,7 +284,9 @@
 def check_zones(
     table: ZonesTable | None, store: StoreTable, errors: ErrorCollector
 ) -> ZonesConfiguration | None:
-    """Checks the zones table: members that match the store's, the lease's bounds, each zone in one region."""
+    """Checks the zones table: the members are those of the store, the lease is within its bounds, and each
+    zone is in at most one region.
+    """
     if table is None:
         return None
     members = {
@@ -282,13 +294,16 @@
         for name, text in table.members.items()
     }
     if table.is_standalone and members:
-        errors.add_error("zones.alone", "members are listed: a scheduler follows them, or acts alone")
+        errors.add_error(
+            "zones.alone",
+            "cannot be combined with zones.members: a scheduler follows the members or is standalone",
+        )
     if not members and not table.is_standalone:
         errors.add_error("zones.members", "none is listed, so nobody could keep the fleet's state")
     if store.peers and not table.is_standalone and set(members) != {store.member, *store.peers}:
         errors.add_error("zones.members", "not the members that store.member and store.peers name")
     if store.listen and not store.peers and store.member not in members and members:
-        errors.add_error("zones.members", f"store.member {store.member!r} is not among them")
+        errors.add_error("zones.members", f"store.member {store.member!r} is not listed")
     if not MIN_LEASE_MS <= table.lease_ms <= MAX_LEASE_MS:
         errors.add_error(
             "zones.lease_ms",
@@ -312,7 +327,7 @@
 def check_policy(
     table: PolicyTable | None, zones: ZonesConfiguration | None, errors: ErrorCollector
 ) -> PolicyConfiguration | None:
-    """Checks the policy table: it needs the members of [zones], and away_ms from the lease up to one day."""
+    """Checks the policy table: it needs the members of [zones], and away_ms between the lease and one day."""
     if table is None:
         return None
     if not table.directory.startswith("/"):
@@ -338,4 +353,4 @@
 
 def _require_package(setting: str, package: str, errors: ErrorCollector) -> None:
     if importlib.util.find_spec(package) is None:
-        errors.add_error(setting, f"needs {package}, which spanwing[tools] installs")
+        errors.add_error(setting, f"needs the package {package}, which spanwing[tools] installs")
