--- a/spanwing/cli/__init__.py
+++ b/spanwing/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line; click is loaded here and nowhere else."""
+"""The command line of the daemon; no other package loads click."""
--- a/spanwing/cli/check.py
+++ b/spanwing/cli/check.py
@@ -1,4 +1,4 @@
-"""Finds all faults of a configuration, each with its remedy."""
+"""`spanwing check`: finds all faults of a configuration and names a remedy for each."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     parse_listen_address,
 )
 
-#: Remedies by a pattern of the setting's name; the first match counts.
+#: Pairs of a pattern for the name of a setting and the remedy; the first pattern that matches applies.
 REMEDIES = (
     (
         r"limits\.sockets",
@@ -74,7 +74,11 @@
 
 
 def check_configuration(config: str | None, operator_file: str | None) -> list[ConfigurationFault]:
-    """Checks the platform's file, the fronts file, or both; returns no faults if all is well."""
+    """Checks the platform's file together with the operator's file, or the operator's file alone.
+
+    config, operator_file: paths; without config, only the operator's file is checked. Without operator_file,
+    SPANWING_FRONTS or the default path applies. Returns the faults, in the order in which they are found.
+    """
     errors = ErrorCollector(collects_all=True)
     environment = dict(os.environ)
     if operator_file:
@@ -92,12 +96,13 @@
         check_policy(table.policy, check_zones(table.zones, table.store, errors), errors)
         parse_listen_address("faktory", table.faktory, errors)
     return [
-        ConfigurationFault(setting, fault, remedy_for(setting, fault)) for setting, fault in errors.errors
+        ConfigurationFault(setting, problem, remedy_for(setting, problem))
+        for setting, problem in errors.errors
     ]
 
 
 def remedy_for(setting: str, problem: str) -> str:
-    """Returns the remedy for a fault of a setting."""
+    """Returns the remedy for a problem with a setting: by the problem's text, or else by the setting."""
     if problem.startswith("unknown"):
         return UNKNOWN_SETTING_REMEDY
     if problem.startswith("Invalid enum"):
--- a/spanwing/cli/client.py
+++ b/spanwing/cli/client.py
@@ -1,7 +1,7 @@
-"""Client of a daemon's admin socket.
+"""Client of a daemon's admin socket: sends commands and reads replies, as lines of JSON.
 
-Waits at most REPLY_TIMEOUT_S for input, and reads at most MAX_REPLY_BYTES for a reply. A failure raises
-CommandRefusedError (rejected by the daemon) or DaemonUnreachableError, with the reason in one line.
+A command that the daemon rejects raises CommandRefusedError, every other failure DaemonUnreachableError; the
+text is one line with the reason.
 """
 
 from __future__ import annotations
@@ -16,22 +16,23 @@
 
 from spanwing.operator_file import DEFAULT_OPERATOR_FILE
 
-REPLY_TIMEOUT_S = 5.0
-MAX_REPLY_BYTES = 1 << 20
+REPLY_TIMEOUT_S = 5.0  # longest wait for the next input
+MAX_REPLY_BYTES = 1 << 20  # longest line of a reply
 
 
 class DaemonUnreachableError(Exception):
-    """No daemon answers at this socket."""
+    """No daemon answers on the admin socket."""
 
 
 class CommandRefusedError(Exception):
-    """The daemon rejected the command; the text is its reason."""
+    """The daemon rejected the command; the text is the reason that it gives."""
 
 
 def socket_path(explicit_path: str | None, operator_file: str | None) -> str:
-    """Returns the socket from the flag or SPANWING_ADMIN (click reads both), else from the fronts file.
+    """Returns the path of the admin socket.
 
-    Raises DaemonUnreachableError if the fronts file names none.
+    explicit_path: from the command line or SPANWING_ADMIN. Without it, the path is read from the [admin]
+    table of the operator's file; raises DaemonUnreachableError if that names none.
     """
     if explicit_path:
         return explicit_path
@@ -45,13 +46,13 @@
     return table["socket"]
 
 
-def stream_replies(path: str, **ask: Any) -> Iterator[dict[str, Any]]:
-    """Yields the replies to one command as they arrive."""
+def stream_replies(path: str, **command: Any) -> Iterator[dict[str, Any]]:
+    """Sends one command to the socket at path, and yields the replies as they arrive."""
     try:
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as admin_socket:
             admin_socket.settimeout(REPLY_TIMEOUT_S)
             admin_socket.connect(path)
-            admin_socket.sendall(json.dumps(ask).encode() + b"\n")
+            admin_socket.sendall(json.dumps(command).encode() + b"\n")
             with admin_socket.makefile("rb") as file:
                 while line := file.readline(MAX_REPLY_BYTES):
                     reply = json.loads(line)
@@ -62,8 +63,8 @@
         raise DaemonUnreachableError(f"{path}: {getattr(error, 'strerror', None) or error}") from None
 
 
-def send_command(path: str, **what: Any) -> dict[str, Any]:
-    """Sends one command and returns its one reply."""
-    for reply in stream_replies(path, **what):
+def send_command(path: str, **command: Any) -> dict[str, Any]:
+    """Sends one command to the socket at path, and returns the first reply."""
+    for reply in stream_replies(path, **command):
         return reply
-    raise DaemonUnreachableError(f"{path}: closed without a reply")
+    raise DaemonUnreachableError(f"{path}: the connection was closed without a reply")
--- a/spanwing/cli/experiment.py
+++ b/spanwing/cli/experiment.py
@@ -1,4 +1,4 @@
-"""`spanwing experiment`: runs a matrix of scenarios, variants, seeds and builds, and compares its columns."""
+"""`spanwing experiment`: plays scenarios by variant, seed and build, reports on them and compares columns."""
 
 from __future__ import annotations
 
@@ -11,25 +11,27 @@
 
 from spanwing.config_errors import ConfigurationError
 from spanwing.experiment.compare import compare_columns
-from spanwing.experiment.matrix import read_plan
-from spanwing.experiment.matrix import run_experiment as play
+from spanwing.experiment.matrix import read_plan, run_experiment
 from spanwing.experiment.score import COMPARABLE_FIGURES
 
-EXIT_FAULTY = 1
+EXIT_FAILURE = 1
 
 
-class ExperimentCommandFailed(click.ClickException):
-    """A fault printed in one line, with exit status 1."""
+class ExperimentCommandError(click.ClickException):
+    """A failure of the command, printed in one line; the exit status is 1."""
 
-    exit_code = EXIT_FAULTY
+    exit_code = EXIT_FAILURE
 
 
 def read_rows(folder: Path) -> tuple[str, list[dict[str, Any]]]:
-    """Returns the name and the rows of a finished experiment; raises ExperimentCommandFailed."""
+    """Returns the name and the rows of a finished experiment.
+
+    Raises ExperimentCommandError if rows.json cannot be read.
+    """
     try:
         stored = json.loads((folder / "rows.json").read_text())
     except (OSError, ValueError) as error:
-        raise ExperimentCommandFailed(f"{folder}: no finished experiment: {error}") from None
+        raise ExperimentCommandError(f"{folder}: the folder holds no finished experiment: {error}") from None
     return stored["name"], stored["rows"]
 
 
@@ -54,23 +56,23 @@
     "load.level" = 0.8), builds (`here`, or revisions whose decisions are played).
     """
     try:
-        matrix = read_plan(plan)
+        experiment_plan = read_plan(plan)
         progress_bar = None
 
-        def show_progress(there: int, of: int) -> None:
+        def show_progress(finished_count: int, cell_count: int) -> None:
             nonlocal progress_bar
             if progress_bar is None:
-                progress_bar = click.progressbar(length=of, label=matrix.name)
+                progress_bar = click.progressbar(length=cell_count, label=experiment_plan.name)
                 progress_bar.__enter__()
-            progress_bar.update(there - progress_bar.pos)
+            progress_bar.update(finished_count - progress_bar.pos)
 
-        rows = play(matrix, out, lanes, show_progress)
+        rows = run_experiment(experiment_plan, out, lanes, show_progress)
         if progress_bar is not None:
             progress_bar.__exit__(None, None, None)
     except (ConfigurationError, RuntimeError) as error:
-        raise ExperimentCommandFailed(str(error)) from None
+        raise ExperimentCommandError(str(error)) from None
     partial_file = out / "rows.part"
-    partial_file.write_text(json.dumps({"name": matrix.name, "rows": rows}))
+    partial_file.write_text(json.dumps({"name": experiment_plan.name, "rows": rows}))
     partial_file.replace(out / "rows.json")
     click.echo(f"{len(rows)} cells in {out}; next: spanwing experiment report {out}")
 
@@ -108,9 +110,9 @@
     for each in (a, b):
         if each not in known_columns:
             raise click.UsageError(f"{each!r} is no {by} here: {', '.join(known_columns)}")
-    if by == "scenario":  # pairs then have the same seed
-        rows = [{**row, "scenario": "", "was": row["scenario"]} for row in rows]
-        by = "was"
+    if by == "scenario":  # pair rows by the seed alone, as their scenarios differ
+        rows = [{**row, "scenario": "", "compared_scenario": row["scenario"]} for row in rows]
+        by = "compared_scenario"
     for each in compare_columns(rows, {by: a}, {by: b}, list(figures or COMPARABLE_FIGURES)):
         click.echo(
             f"{each.figure:<9} {a} {each.mean_a:.4g}, {b} {each.mean_b:.4g}: {each.mean_difference:+.4g} "
--- a/spanwing/cli/journal.py
+++ b/spanwing/cli/journal.py
@@ -1,4 +1,4 @@
-"""`spanwing journal`: reads the journal of a running daemon or of one that has ended."""
+"""`spanwing journal`: queries, checks, exports and repairs the journal of a daemon, running or stopped."""
 
 from __future__ import annotations
 
@@ -24,22 +24,22 @@
 from spanwing.journal.table import AttemptRow, attempt_rows
 from spanwing.operator_file import DEFAULT_OPERATOR_FILE, OperatorFile
 
-EXIT_FAULTY, EXIT_NOT_FOUND = 1, 1
-TAIL_INTERVAL_S = 0.2
-PARQUET_BATCH_ROWS = 10_000  # rows of a Parquet row group
-TIME_FIELDS = ("time", "intent", "last_byte", "answered")
+EXIT_FAILURE, EXIT_NOT_FOUND = 1, 1
+TAIL_INTERVAL_S = 0.2  # pause between two reads of `tail --follow`
+PARQUET_BATCH_ROWS = 10_000  # rows per Parquet row group
+TIME_FIELDS = ("time", "intent", "last_byte", "answered")  # of AttemptRow, in ms since 1970
 
 
-class JournalCommandFailed(click.ClickException):
-    """A fault printed in one line, with exit status 1."""
+class JournalCommandError(click.ClickException):
+    """A failure of the command, printed in one line; the exit status is 1."""
 
-    exit_code = EXIT_FAULTY
+    exit_code = EXIT_FAILURE
 
 
 def find_journal_directory(directory: str | None, operator_file: str | None) -> str:
-    """Returns the journal's folder from the flag, else from the fronts file's journal.directory.
+    """Returns the journal's folder: directory if given, else journal.directory of the operator's file.
 
-    Raises JournalCommandFailed.
+    Raises JournalCommandError if the file cannot be read or has no [journal] table.
     """
     if directory:
         return directory
@@ -47,31 +47,31 @@
     try:
         table = msgspec.toml.decode(file.read_bytes(), type=OperatorFile).journal
     except (OSError, ValueError) as error:
-        raise JournalCommandFailed(f"no --directory was given, and {file} cannot be read: {error}") from None
+        raise JournalCommandError(f"no --directory was given, and {file} cannot be read: {error}") from None
     if table is None:
-        raise JournalCommandFailed(f"no --directory was given, and {file} has no [journal] table")
+        raise JournalCommandError(f"no --directory was given, and {file} has no [journal] table")
     return table.directory
 
 
 def open_journal(directory: str | None, operator_file: str | None) -> JournalReader:
-    """Opens the journal for reading; raises JournalCommandFailed."""
+    """Opens the journal for reading. Raises JournalCommandError if it cannot be found or read."""
     try:
         return JournalReader(find_journal_directory(directory, operator_file))
     except OSError as error:
-        raise JournalCommandFailed(str(error)) from None
+        raise JournalCommandError(str(error)) from None
 
 
 def parse_expression(expression: str) -> QueryPlan:
-    """Parses a query; raises click.UsageError with a mark at the fault's column."""
+    """Parses a query. Raises click.UsageError, with a mark below the column of the error."""
     try:
         return parse_query(expression, time.time() * 1000.0)
     except QueryError as error:
-        mark = " " * (error.column - 1) + "^"
-        raise click.UsageError(f"{error}\n    {expression[:200]}\n    {mark[:200]}") from None
+        marker_line = " " * (error.column - 1) + "^"
+        raise click.UsageError(f"{error}\n    {expression[:200]}\n    {marker_line[:200]}") from None
 
 
 def format_time(wall_ms: float | None) -> str:
-    """Formats a wall time (ms since 1970) as ISO 8601 in local time; "-" for None."""
+    """Returns a wall clock time (ms since 1970) as ISO 8601 in local time, or "-" for None."""
     return (
         "-"
         if wall_ms is None
@@ -80,7 +80,7 @@
 
 
 def row_as_json(row: AttemptRow) -> dict[str, Any]:
-    """Returns a row's values for JSON; times in ISO 8601."""
+    """Returns the values of a row by field, for JSON and CSV; times are in ISO 8601."""
     values = row._asdict()
     values["class"] = values.pop("cls")
     return {
@@ -90,13 +90,13 @@
 
 
 def show_rows(rows: Iterable[AttemptRow], as_json: bool, limit: int) -> int:
-    """Prints rows, at most limit (0: all); returns how many."""
-    shown = 0
+    """Prints at most `limit` rows (all rows if it is 0), and returns the number printed."""
+    shown_count = 0
     for row in rows:
-        if limit and shown >= limit:
+        if limit and shown_count >= limit:
             click.echo(f"further ones are left out: --limit {limit}", err=True)
             break
-        shown += 1
+        shown_count += 1
         if as_json:
             click.echo(json.dumps(row_as_json(row)))
         else:
@@ -107,7 +107,7 @@
                 f"{format_time(row.intent or row.time)}  {row.state:<13}  {row.cls}  {row.request}  "
                 f"{attempt}  {outcome}  {answer}".rstrip()
             )
-    return shown
+    return shown_count
 
 
 directory_option = click.option(
@@ -174,24 +174,24 @@
 @fronts_option
 def tail(follow: bool, count: int, directory: str | None, fronts: str | None) -> None:
     """The last records, as they stand."""
-    book, last = open_journal(directory, fronts), 0
-    last_records: list[RecordFrame] = []
-    for _, each in book.read_frames():
-        if isinstance(each, RecordFrame):
-            last_records = [*last_records, each][-count:] if count else []
-            last = each.number
-    for each in last_records:
-        print_record(each)
+    reader, last_number = open_journal(directory, fronts), 0
+    last_frames: list[RecordFrame] = []
+    for _, frame in reader.read_frames():
+        if isinstance(frame, RecordFrame):
+            last_frames = [*last_frames, frame][-count:] if count else []
+            last_number = frame.number
+    for frame in last_frames:
+        print_record(frame)
     while follow:
         time.sleep(TAIL_INTERVAL_S)
-        for _, each in book.read_frames(last):
-            if isinstance(each, RecordFrame):
-                last = each.number
-                print_record(each)
+        for _, frame in reader.read_frames(last_number):
+            if isinstance(frame, RecordFrame):
+                last_number = frame.number
+                print_record(frame)
 
 
 def print_record(frame: RecordFrame) -> None:
-    """Prints one record as a line of JSON."""
+    """Prints one record as a line of JSON and flushes standard output, for readers of a pipe."""
     record = frame.record
     click.echo(
         json.dumps(
@@ -211,21 +211,21 @@
 @fronts_option
 def verify(directory: str | None, fronts: str | None) -> None:
     """Read everything; exit status 1 if a record that was acknowledged is missing or damaged."""
-    book, intact, faulty = open_journal(directory, fronts), 0, 0
-    for segment, each in book.read_frames():
-        if isinstance(each, DamagedBytes):
-            harmless = book.is_harmless(each)
-            faulty += not harmless
-            click.echo(f"{segment}: {each.reason}{' (a crash leaves that)' if harmless else ''}")
+    reader, intact_count, fault_count = open_journal(directory, fronts), 0, 0
+    for segment, frame in reader.read_frames():
+        if isinstance(frame, DamagedBytes):
+            is_harmless = reader.is_harmless(frame)
+            fault_count += not is_harmless
+            click.echo(f"{segment}: {frame.reason}{' (expected after a crash)' if is_harmless else ''}")
         else:
-            intact += 1
-    gaps = list(book.read_gaps())
+            intact_count += 1
+    gaps = list(reader.read_gaps())
     for gap in gaps:
         span = f"from {format_time(gap.since_wall_ms)} to {format_time(gap.wall_ms)}"
         click.echo(f"gap of {gap.count} records {span}: {gap.why}")
-    click.echo(f"{intact} whole records, {faulty} faults, {len(gaps)} gaps")
-    if faulty:
-        raise SystemExit(EXIT_FAULTY)
+    click.echo(f"{intact_count} whole records, {fault_count} faults, {len(gaps)} gaps")
+    if fault_count:
+        raise SystemExit(EXIT_FAILURE)
 
 
 @journal.command()
@@ -238,47 +238,54 @@
     try:
         folder = LocalFolder(path, for_writing=not dry_run)
     except FolderInUseError as error:
-        raise JournalCommandFailed(f"{error}: stop the daemon first") from None
+        raise JournalCommandError(f"{error}: stop the daemon first") from None
     except OSError as error:
-        raise JournalCommandFailed(f"{path}: {error.strerror}") from None
+        raise JournalCommandError(f"{path}: {error.strerror}") from None
     try:
-        count = 0
+        step_count = 0
         for step in list(plan_repair(folder)):
-            count += step.action != "leave"
+            step_count += step.action != "leave"
             click.echo(f"{step.file_name}: {step.action}: {step.reason}")
             if not dry_run:
                 apply_step(folder, step)
-        click.echo(f"{count} step{'s' if count != 1 else ''} {'to do' if dry_run else 'done'}")
+        click.echo(f"{step_count} step{'s' if step_count != 1 else ''} {'to do' if dry_run else 'done'}")
     finally:
         folder.close_all()
 
 
 @journal.command()
 @click.option(
-    "--format", "form", type=click.Choice(["jsonl", "csv", "parquet"]), default="jsonl", show_default=True
+    "--format",
+    "export_format",
+    type=click.Choice(["jsonl", "csv", "parquet"]),
+    default="jsonl",
+    show_default=True,
 )
 @click.option("--out", type=click.Path(path_type=Path, dir_okay=False), help="A file; Parquet needs one.")
 @click.argument("expression", default="")
 @directory_option
 @fronts_option
-def export(form: str, out: Path | None, expression: str, directory: str | None, fronts: str | None) -> None:
+def export(
+    export_format: str, out: Path | None, expression: str, directory: str | None, fronts: str | None
+) -> None:
     """All attempts that match EXPRESSION, by default all there are, for other programs."""
-    if form == "parquet" and out is None:
+    if export_format == "parquet" and out is None:
         raise click.UsageError("--out is needed for parquet")
     rows = open_journal(directory, fronts).find_rows(parse_expression(expression))
-    if form == "parquet":
+    if export_format == "parquet":
         count = _write_parquet(rows, out)
     else:
         with open(out, "w", newline="") if out else click.get_text_stream("stdout") as file:
-            count = _write_text(rows, form, file)
+            count = _write_text(rows, export_format, file)
     click.echo(f"{count} rows", err=True)
 
 
-def _write_text(rows: Iterator[AttemptRow], form: str, file: Any) -> int:
+def _write_text(rows: Iterator[AttemptRow], export_format: str, file: Any) -> int:
+    """Writes rows as JSON lines or CSV, and returns their number."""
     count, writer = 0, None
-    for count, row in enumerate(rows, 1):  # noqa: B007 - the count is what is wanted
+    for count, row in enumerate(rows, 1):  # noqa: B007 - the last value is the number of rows
         values = row_as_json(row)
-        if form == "jsonl":
+        if export_format == "jsonl":
             file.write(json.dumps(values) + "\n")
             continue
         if writer is None:
@@ -289,20 +296,23 @@
 
 
 def _write_parquet(rows: Iterator[AttemptRow], out: Path) -> int:
+    """Writes rows to a Parquet file, in row groups of PARQUET_BATCH_ROWS, and returns their number."""
     import pyarrow as pa
     import pyarrow.parquet as pq
 
     types = {name: pa.string() for name in AttemptRow._fields}
     types |= {name: pa.timestamp("ms", tz="UTC") for name in TIME_FIELDS}
     types |= {"attempt": pa.int32(), "closed": pa.bool_()}
-    schema = pa.schema([("class" if name == "cls" else name, each) for name, each in types.items()])
+    schema = pa.schema(
+        [("class" if name == "cls" else name, arrow_type) for name, arrow_type in types.items()]
+    )
     count, batch = 0, []
     with pq.ParquetWriter(out, schema) as writer:
 
         def flush() -> None:
             columns = {name: [getattr(row, name) for row in batch] for name in AttemptRow._fields}
             for name in TIME_FIELDS:
-                columns[name] = [None if each is None else int(each) for each in columns[name]]
+                columns[name] = [None if time_ms is None else int(time_ms) for time_ms in columns[name]]
             columns["class"] = columns.pop("cls")
             writer.write_table(pa.table({name: columns[name] for name in schema.names}, schema=schema))
 
@@ -322,18 +332,18 @@
 @click.option("--json", "as_json", is_flag=True)
 def stats(directory: str | None, fronts: str | None, as_json: bool) -> None:
     """Counts by class and state, and the size on disk."""
-    book = open_journal(directory, fronts)
+    reader = open_journal(directory, fronts)
     counts: Counter[tuple[str, str]] = Counter()
-    for request in book.read_requests():
+    for request in reader.read_requests():
         counts.update((row.cls, row.state) for row in attempt_rows(request))
-    sizes = book.segment_sizes()
+    sizes = reader.segment_sizes()
     if as_json:
         click.echo(
             json.dumps(
                 {
                     "attempts": [
-                        {"class": cls, "state": state, "count": count}
-                        for (cls, state), count in sorted(counts.items())
+                        {"class": class_name, "state": state, "count": count}
+                        for (class_name, state), count in sorted(counts.items())
                     ],
                     "segments": len(sizes),
                     "bytes": sum(size for *_, size in sizes),
--- a/spanwing/cli/load.py
+++ b/spanwing/cli/load.py
@@ -1,4 +1,4 @@
-"""`spanwing load`: sends a scenario's requests to real schedulers."""
+"""`spanwing load`: an open-loop load test that sends the requests of a scenario to running schedulers."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from spanwing.load.openloop import LoadTestResult, OpenLoopGenerator
 from spanwing.simulation.clients import ClientModel
 from spanwing.simulation.random_streams import RandomStreams
-from spanwing.simulation.scenario import load_scenario as load_scenario
+from spanwing.simulation.scenario import load_scenario
 
-EXIT_FAULTY, EXIT_BROKEN = 1, 1
+EXIT_INVALID_SCENARIO, EXIT_BROKEN_ANSWER = 1, 1
 
 
-def parse_place(text: str) -> tuple[str, int]:
-    """Parses HOST:PORT; raises click.UsageError."""
+def parse_host_port(text: str) -> tuple[str, int]:
+    """Returns host and port of "HOST:PORT". Raises click.UsageError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise click.UsageError(f"{text!r} is no HOST:PORT")
+        raise click.UsageError(f"{text!r} is not of the form HOST:PORT")
     return host.strip("[]"), int(port)
 
 
@@ -30,7 +30,7 @@
 @click.argument("scenario")
 @click.option(
     "--to",
-    "places",
+    "endpoints",
     multiple=True,
     required=True,
     metavar="HOST:PORT",
@@ -45,7 +45,7 @@
 @click.option("--json", "as_json", is_flag=True, help="The report as JSON.")
 def load(
     scenario: str,
-    places: tuple[str, ...],
+    endpoints: tuple[str, ...],
     rate: float | None,
     seconds: float | None,
     seed: int,
@@ -57,21 +57,21 @@
     Latencies count from when a request was due: a scheduler that stalls is charged for all that came
     meanwhile. Exit status 1 where an answer was missing or broken.
     """
-    faults = ErrorCollector(collects_all=True)
-    parsed = load_scenario(scenario, faults)
-    if parsed is None:
-        for place, fault in faults.errors:
-            click.echo(f"{place}: {fault}", err=True)
-        raise SystemExit(EXIT_FAULTY)
-    plan = parsed.build_plan(seed)
+    errors = ErrorCollector(collects_all=True)
+    parsed_scenario = load_scenario(scenario, errors)
+    if parsed_scenario is None:
+        for path, message in errors.errors:
+            click.echo(f"{path}: {message}", err=True)
+        raise SystemExit(EXIT_INVALID_SCENARIO)
+    plan = parsed_scenario.build_plan(seed)
     load_spec = plan.load._replace(rate=rate or plan.load.rate)
     clients = ClientModel(load_spec, plan.classes, plan.tenants, RandomStreams(seed))
     requests = iter(clients.next_request, None)
 
     async def run() -> LoadTestResult:
         return await OpenLoopGenerator(
-            [parse_place(each) for each in places], secrets.token_hex(4), most
-        ).run(itertools.chain(requests), seconds or parsed.seconds)
+            [parse_host_port(each) for each in endpoints], secrets.token_hex(4), most
+        ).run(itertools.chain(requests), seconds or parsed_scenario.seconds)
 
     report = asyncio.run(run())
     if as_json:
@@ -79,20 +79,22 @@
     else:
         print_report(report)
     if report.kinds.get("broken"):
-        raise SystemExit(EXIT_BROKEN)
+        raise SystemExit(EXIT_BROKEN_ANSWER)
 
 
 def print_report(report: LoadTestResult) -> None:
-    """Prints the report as a table; latencies in ms."""
+    """Prints the result of a load test: the requests by outcome, and a table of latencies (ms) by
+    percentile.
+    """
     click.echo(
         f"{report.asked} requests in {report.seconds:.1f} s: "
         + ", ".join(f"{count} {kind}" for kind, count in sorted(report.kinds.items()))
     )
     rows = {
-        "all, from due": report.latency,
-        "all, from written": report.service,
-        **{f"{name}, from due": each for name, each in report.by_class.items()},
-        "generator late": report.late,
+        "all, from due time": report.latency,
+        "all, from sending": report.service,
+        **{f"{name}, from due time": each for name, each in report.by_class.items()},
+        "generator lateness": report.late,
     }
     click.echo(f"{'ms at percentile':<30}" + "".join(f"{each:>10}" for each in report.latency))
     for name, each in rows.items():
--- a/spanwing/cli/main.py
+++ b/spanwing/cli/main.py
@@ -1,7 +1,8 @@
-"""The `spanwing` command and its subcommands.
+"""The `spanwing` command: its group, and the subcommands that run, check or control one daemon.
 
-Exit statuses: 0 done; 1 the daemon rejected the command, a configuration has faults, or the daemon accepts no
-work (status --exit-code); 2 wrong usage; 3 no daemon was reached; 4 a drain did not end within its time.
+Exit statuses: 0 success; 1 the daemon rejected the command, the configuration has faults, or the daemon
+accepts no new work (status --exit-code); 2 wrong usage; 3 no daemon can be reached; 4 a drain did not end in
+time.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 from spanwing.cli.check import check_configuration as check_files
 
 EXIT_REFUSED, EXIT_UNREACHABLE, EXIT_DRAIN_TIMEOUT = 1, 3, 4
-POLL_INTERVAL_S = 0.1
+POLL_INTERVAL_S = 0.1  # between two reads of the status during a drain
 
 socket_option = click.option(
     "--socket",
@@ -43,16 +44,19 @@
 
 
 class LazyGroup(click.Group):
-    """Some commands are loaded when asked for: the daemon, which `serve` runs, has no use for them."""
+    """A group that imports the modules of some commands only when they run.
+
+    `serve` starts the daemon, which must not load the packages that these commands need.
+    """
 
     lazy_commands = ("experiment", "journal", "load", "policy", "zones")
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Returns the names of all commands, loaded or not."""
+        """Returns the names of all commands, imported or not."""
         return sorted([*super().list_commands(ctx), *self.lazy_commands])
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        """Returns a command, loading its module if needed."""
+        """Returns a command; imports its module if needed."""
         if name in self.lazy_commands:
             return getattr(import_module(f"spanwing.cli.{name}"), name)
         return super().get_command(ctx, name)
@@ -78,9 +82,9 @@
         os.environ["ROUTER_CONFIG"] = config
     if fronts:
         os.environ["SPANWING_FRONTS"] = fronts
-    from spanwing.daemon import serve as daemon
+    from spanwing.daemon import serve as serve_daemon
 
-    raise SystemExit(daemon())
+    raise SystemExit(serve_daemon())
 
 
 @cli.command()
@@ -96,8 +100,8 @@
     faults = check_files(
         None if is_operator_file_only else config, config if is_operator_file_only else fronts
     )
-    for setting, fault, remedy in faults:
-        click.echo(f"{setting}: {fault}\n    to mend it: {remedy}", err=True)
+    for setting, problem, remedy in faults:
+        click.echo(f"{setting}: {problem}\n    to mend it: {remedy}", err=True)
     if faults:
         click.echo(f"{len(faults)} fault{'s' if len(faults) > 1 else ''} in {config}", err=True)
         raise SystemExit(EXIT_REFUSED)
@@ -145,7 +149,9 @@
         deadline_s = time.monotonic() + within
         while reply["state"] != "drained":
             if time.monotonic() >= deadline_s:
-                click.echo(f"not drained within {within:g} s: {reply['owed']} requests are owed", err=True)
+                click.echo(
+                    f"not drained within {within:g} s: {reply['owed']} requests are unanswered", err=True
+                )
                 raise SystemExit(EXIT_DRAIN_TIMEOUT)
             time.sleep(min(POLL_INTERVAL_S, max(0.0, deadline_s - time.monotonic())))
             reply = client.send_command(path, do="status")
@@ -177,7 +183,7 @@
 def _print_status(reply: dict[str, Any]) -> None:
     click.echo(
         f"{reply['name']}: {reply['state']}, weight {reply['weight']}%, "
-        f"since {reply['since_s']:.0f} s, {reply['owed']} owed"
+        f"since {reply['since_s']:.0f} s, {reply['owed']} unanswered"
     )
     for name, count in reply.get("counters", {}).items():
         if name.startswith("violation."):
@@ -194,7 +200,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Runs a command; returns the exit status."""
+    """Runs the command that the arguments name (default: those of the process); returns the exit status."""
     try:
         cli.main(args=arguments, prog_name="spanwing", standalone_mode=False)
     except click.exceptions.Exit as exit_request:
--- a/spanwing/cli/policy.py
+++ b/spanwing/cli/policy.py
@@ -1,6 +1,6 @@
-"""`spanwing policy`: the fleet's policy as one daemon follows it, and changes of it.
+"""`spanwing policy`: shows the fleet's policy as one daemon follows it, and proposes changes.
 
-A proposal ends with adopted or not adopted and the reason; the exit status is 0 if it was adopted, else 1.
+A proposal is adopted or fails with a reason; the exit status is 0 if it was adopted, else 1.
 """
 
 from __future__ import annotations
@@ -18,10 +18,9 @@
 from spanwing.cli import client
 from spanwing.cli.main import fronts_option, socket_option
 
-POLL_INTERVAL_S, EXTRA_WAIT_S = (
-    0.1,
-    10.0,
-)  # extra: after the fleet's own limit, for the outcome to arrive
+# While a proposal is under way, the history is read at this interval. The command waits for the outcome for
+# the extra time after the fleet's own time limit.
+POLL_INTERVAL_S, EXTRA_WAIT_S = 0.1, 10.0
 json_option = click.option("--json", "as_json", is_flag=True, help="Everything that is known, as JSON.")
 
 
@@ -35,12 +34,15 @@
 
 
 def pass_path(command: Callable[..., None]) -> Callable[..., None]:
-    """Passes the command its daemon's socket, found only when the command runs: its help needs no daemon."""
+    """Passes the path of the admin socket to a command.
+
+    The path is resolved when the command runs, so that its help needs no daemon and no operator's file.
+    """
 
     @click.pass_obj
     @wraps(command)
-    def run(given: tuple[str | None, str | None], *values: Any, **named: Any) -> None:
-        command(client.socket_path(*given), *values, **named)
+    def run(socket_options: tuple[str | None, str | None], *args: Any, **kwargs: Any) -> None:
+        command(client.socket_path(*socket_options), *args, **kwargs)
 
     return run
 
@@ -65,12 +67,14 @@
     if as_json:
         click.echo(json.dumps(changes))
         return
-    for each in changes:
-        changed_at = datetime.fromtimestamp(each["wall_ms"] / 1000.0, UTC).isoformat(timespec="milliseconds")
-        outcome = "taken" if each["taken"] else "not taken"
+    for change in changes:
+        changed_at = datetime.fromtimestamp(change["wall_ms"] / 1000.0, UTC).isoformat(
+            timespec="milliseconds"
+        )
+        outcome = "taken" if change["taken"] else "not taken"
         click.echo(
-            f"{each['number']:>5}  {changed_at}  {outcome}  {each['digest']}  "
-            f"({each['reason']}; by {each['author']})"
+            f"{change['number']:>5}  {changed_at}  {outcome}  {change['digest']}  "
+            f"({change['reason']}; by {change['author']})"
         )
 
 
@@ -88,7 +92,7 @@
 def check(path: str, file: str) -> None:
     """Whether FILE could be taken over by this scheduler now."""
     _raise_if_refused(client.send_command(path, do="policy_check", text=_read_text(file))["no"])
-    click.echo("it could be taken over here")
+    click.echo("valid: this scheduler could adopt it now")
 
 
 @policy.command()
@@ -151,9 +155,13 @@
 def _propose(
     path: str, text: str, wait_s: float, base: int | None, reason: str, gone: tuple[str, ...], by: str
 ) -> None:
+    """Proposes a policy text and waits until it is adopted, with progress on standard error.
+
+    Raises client.CommandRefusedError if it is invalid, not adopted, or its outcome does not arrive in time.
+    """
     current = client.send_command(path, do="policy")
     base = current["in_force"] if base is None else base
-    # This scheduler checks the proposal before any other is asked.
+    # An invalid text fails here, before any other scheduler is asked.
     _raise_if_refused(client.send_command(path, do="policy_check", text=text)["no"])
     earlier_changes = client.send_command(path, do="policy_history")["history"]
     unconfirmed_error = None
@@ -172,18 +180,20 @@
     except client.CommandRefusedError as error:
         if "may still take hold" not in str(error):
             raise
-        unconfirmed_error = error  # no answer: poll whether the proposal arrived
+        unconfirmed_error = error  # the order got no answer: the history shows whether it arrived
     started_s, last_waits = time.monotonic(), ""
     deadline_s = started_s + wait_s + EXTRA_WAIT_S
     while time.monotonic() < deadline_s:
         changes = client.send_command(path, do="policy_history")["history"]
-        matching = [each for each in changes if each not in earlier_changes and each["number"] == base + 1]
-        if matching:
-            newest = matching[-1]
-            if newest["taken"]:
+        outcomes = [
+            change for change in changes if change not in earlier_changes and change["number"] == base + 1
+        ]
+        if outcomes:
+            outcome = outcomes[-1]
+            if outcome["taken"]:
                 click.echo(f"version {base + 1} is in force")
                 return
-            raise client.CommandRefusedError(f"version {base + 1} was not taken: {newest['reason']}")
+            raise client.CommandRefusedError(f"version {base + 1} was not taken: {outcome['reason']}")
         current = client.send_command(path, do="policy")
         if (
             unconfirmed_error is not None
@@ -200,11 +210,12 @@
             last_waits = waits
         time.sleep(POLL_INTERVAL_S)
     raise client.CommandRefusedError(
-        f"nothing is heard of version {base + 1} here: look at its history at another one"
+        f"the outcome of version {base + 1} is unknown here: see the policy history at another scheduler"
     )
 
 
 def _raise_if_refused(reason: str) -> None:
+    """Raises client.CommandRefusedError with this reason, unless it is empty."""
     if reason:
         raise client.CommandRefusedError(reason)
 
@@ -223,15 +234,15 @@
         f"{reply['name']}: version {reply['version']} ({reply['digest']}), by {reply['author']}, {permit}"
     ]
     if reply["may"] != "take":
-        lines.append(f"    takes no jobs: {reply['why']}")
+        lines.append(f"    accepts no jobs: {reply['why']}")
     if reply["open_under_earlier"]:
-        lines.append(f"    {reply['open_under_earlier']} jobs are decided under earlier versions")
+        lines.append(f"    {reply['open_under_earlier']} open jobs follow earlier versions")
     change = reply["change"]
     if change is not None:
         local_state = "ready" if change["ready"] else change["no"]
         lines.append(
             f"    version {change['version']} by {change['author']} is {change['state']}, here "
-            f"{local_state}; waits: {reply.get('waits') or 'nobody'}"
+            f"{local_state}; waits for: {reply.get('waits') or 'nobody'}"
         )
     lines.append(f"    schedulers: {', '.join(reply['schedulers'])}")
     return "\n".join(lines)
--- a/spanwing/cli/zones.py
+++ b/spanwing/cli/zones.py
@@ -1,6 +1,6 @@
-"""`spanwing zones`: the fleet's zones as one daemon follows them, and orders for them.
+"""`spanwing zones`: shows the state of the fleet's zones at one daemon, and orders zones to change.
 
-An order that was not carried out prints one line with the reason, and the exit status is not 0.
+An order that fails prints one line with the reason; the exit status is then not 0.
 """
 
 from __future__ import annotations
@@ -40,17 +40,19 @@
 
 
 def _add_order_command(command_name: str, help_text: str, has_duration: bool = False) -> None:
+    """Adds a command for an order, with the option --over if has_duration is set."""
+
     @zones.command(command_name, help=help_text)
     @click.argument("name")
     @socket_option
     @fronts_option
     @click.pass_context
     def order(
-        ctx: click.Context, name: str, path: str | None, fronts: str | None, over_s: float | None = None
+        ctx: click.Context, name: str, path: str | None, fronts: str | None, duration_s: float | None = None
     ) -> None:
         path = client.socket_path(path or ctx.obj[0], fronts or ctx.obj[1])
         click.echo(
-            client.send_command(path, do="zones_order", order=command_name, zone=name, within_s=over_s)[
+            client.send_command(path, do="zones_order", order=command_name, zone=name, within_s=duration_s)[
                 "text"
             ]
         )
@@ -58,7 +60,7 @@
     if has_duration:
         click.option(
             "--over",
-            "over_s",
+            "duration_s",
             type=click.FloatRange(min=0, min_open=True, max=3600),
             metavar="SECONDS",
             help="In quarters over so long, not at once.",
@@ -85,18 +87,20 @@
     if as_json:
         click.echo(json.dumps(reply["history"]))
         return
-    for each in reply["history"]:
-        changed_at = datetime.fromtimestamp(each["wall_ms"] / 1000.0, UTC).isoformat(timespec="milliseconds")
-        step = f" step {each['step']}" if each["step"] else ""
-        step += f" {each['share']:.0%} in use" if each["share"] else ""
+    for change in reply["history"]:
+        changed_at = datetime.fromtimestamp(change["wall_ms"] / 1000.0, UTC).isoformat(
+            timespec="milliseconds"
+        )
+        progress = f" step {change['step']}" if change["step"] else ""
+        progress += f" {change['share']:.0%} in use" if change["share"] else ""
         click.echo(
-            f"{each['number']:>5}  {changed_at}  {each['zone']}: {each['state']}{step}  "
-            f"({each['reason']}; by {each['author']})"
+            f"{change['number']:>5}  {changed_at}  {change['zone']}: {change['state']}{progress}  "
+            f"({change['reason']}; by {change['author']})"
         )
 
 
 def _format_zones(reply: dict[str, Any]) -> str:
-    contact_text = f"in contact by {reply['by']}" if reply["contact"] else f"no contact: {reply['why']}"
+    contact_text = f"in contact through {reply['by']}" if reply["contact"] else f"no contact: {reply['why']}"
     lines = [f"{reply['name']}: {contact_text}, revision {reply['revision']}"]
     for name, zone in reply["zones"].items():
         state = zone["state"] + (f" step {zone['step']} of {zone['steps']}" if zone["step"] else "")
