--- a/tests/test_golden_cli.py
+++ b/tests/test_golden_cli.py
@@ -1,4 +1,4 @@
-"""What operators and their scripts read from the command line, against the files in tests/golden/cli."""
+"""Compares the output and exit statuses of the command line with the golden files in tests/golden/cli."""
 
 from __future__ import annotations
 
@@ -15,53 +15,58 @@
 
 from spanwing.cli.main import main
 
-NOWHERE = "/nowhere/fronts.toml"
+MISSING_OPERATOR_FILE = "/nowhere/fronts.toml"
 
 
-def run_here(capsys, monkeypatch, *arguments: str) -> tuple[int, str]:
-    """A command in this process, where no daemon can be reached; its exit status and all that it said."""
-    monkeypatch.setenv("SPANWING_FRONTS", NOWHERE)
+def run_in_process(capsys, monkeypatch, *arguments: str) -> tuple[int, str]:
+    """Runs a command in this process, where it can reach no daemon; returns its exit status and output."""
+    monkeypatch.setenv("SPANWING_FRONTS", MISSING_OPERATOR_FILE)
     monkeypatch.setenv("COLUMNS", "100")
     monkeypatch.delenv("SPANWING_ADMIN", raising=False)
     status = main(list(arguments))
-    said = capsys.readouterr()
-    return status, said.out + said.err
+    captured = capsys.readouterr()
+    return status, captured.out + captured.err
 
 
-def commands_in(text: str) -> list[str]:
-    """The sub-commands that a help names."""
-    _, _, rest = text.partition("\nCommands:\n")
-    return re.findall(r"^  ([a-z][a-z-]*)(?: |$)", rest, re.MULTILINE)
+def list_subcommands(help_text: str) -> list[str]:
+    """Returns the subcommands that a help text lists."""
+    _, _, command_list = help_text.partition("\nCommands:\n")
+    return re.findall(r"^  ([a-z][a-z-]*)(?: |$)", command_list, re.MULTILINE)
 
 
 def test_help_of_every_command_needs_no_daemon(capsys, monkeypatch) -> None:
-    told, waiting, failed = [], [()], []
-    while waiting:
-        command = waiting.pop(0)
-        status, text = run_here(capsys, monkeypatch, *command, "--help")
-        told.append(f"$ spanwing {' '.join([*command, '--help'])}\n{text}")
-        failed += [] if status == 0 and "Usage:" in text else [(command, status, text)]
-        waiting += [(*command, each) for each in commands_in(text)]
-    assert not failed
-    compare_text("cli/help.txt", "\n".join(told))
+    transcripts, pending_commands, failures = [], [()], []
+    while pending_commands:
+        command = pending_commands.pop(0)
+        status, help_text = run_in_process(capsys, monkeypatch, *command, "--help")
+        transcripts.append(f"$ spanwing {' '.join([*command, '--help'])}\n{help_text}")
+        failures += [] if status == 0 and "Usage:" in help_text else [(command, status, help_text)]
+        pending_commands += [(*command, each) for each in list_subcommands(help_text)]
+    assert not failures
+    compare_text("cli/help.txt", "\n".join(transcripts))
 
 
 JOURNAL = GOLDEN / "folder" / "journal"
 
 
-def run_apart(*arguments: str) -> str:
-    """A command in a process of its own: what it printed on which side, and its exit status."""
-    done = subprocess.run(
+def transcript_of(*arguments: str) -> str:
+    """Runs a command in its own process; returns the command, its output by stream and its exit status."""
+    process = subprocess.run(
         [sys.executable, "-m", "spanwing", *arguments],
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=PATIENCE_S,
-        env={"PATH": os.environ["PATH"], "SPANWING_FRONTS": NOWHERE, "TZ": "UTC", "COLUMNS": "100"},
+        env={
+            "PATH": os.environ["PATH"],
+            "SPANWING_FRONTS": MISSING_OPERATOR_FILE,
+            "TZ": "UTC",
+            "COLUMNS": "100",
+        },
     )
-    told = f"$ spanwing {' '.join(map(repr, arguments))}\n{done.stdout}"
-    told += "".join(f"stderr: {line}\n" for line in done.stderr.splitlines())
-    return f"{told}exit {done.returncode}\n\n".replace(str(GOLDEN), "GOLDEN")
+    transcript = f"$ spanwing {' '.join(map(repr, arguments))}\n{process.stdout}"
+    transcript += "".join(f"stderr: {line}\n" for line in process.stderr.splitlines())
+    return f"{transcript}exit {process.returncode}\n\n".replace(str(GOLDEN), "GOLDEN")
 
 
 @pytest.mark.parametrize(
@@ -93,16 +98,18 @@
         ),
     ],
 )
-def test_the_journal_of_an_earlier_daemon(name: str, commands: list[tuple[str, ...]], tmp_path) -> None:
+def test_journal_commands_read_the_journal_of_an_earlier_version(
+    name: str, commands: list[tuple[str, ...]], tmp_path
+) -> None:
     shutil.copytree(JOURNAL, tmp_path / "journal")
-    where = ("--directory", str(tmp_path / "journal"))
-    told = "".join(run_apart("journal", *each, *where) for each in commands)
-    compare_text(f"cli/{name}.txt", told.replace(str(tmp_path), "TMP"))
+    directory_option = ("--directory", str(tmp_path / "journal"))
+    transcript = "".join(transcript_of("journal", *each, *directory_option) for each in commands)
+    compare_text(f"cli/{name}.txt", transcript.replace(str(tmp_path), "TMP"))
 
 
-def test_what_is_said_without_a_daemon_or_with_wrong_usage() -> None:
-    """The statuses that scripts read: 1 refused or faulty, 2 wrong usage, 3 no daemon reached."""
-    text = str(GOLDEN / "folder" / "policy" / "version-1.json")
+def test_commands_without_a_daemon_or_with_wrong_usage() -> None:
+    """Scripts depend on the exit statuses: 1 refused or faulty, 2 wrong usage, 3 no daemon reached."""
+    policy_file = str(GOLDEN / "folder" / "policy" / "version-1.json")
     commands = [
         (),
         ("nothing",),
@@ -126,10 +133,10 @@
         ("policy", "show", "x"),
         ("policy", "show"),
         ("policy", "check", "/nowhere/policy"),
-        ("policy", "check", text),
-        ("policy", "diff", text),
-        ("policy", "propose", text, "--wait", "0"),
-        ("policy", "propose", text),
+        ("policy", "check", policy_file),
+        ("policy", "diff", policy_file),
+        ("policy", "propose", policy_file, "--wait", "0"),
+        ("policy", "propose", policy_file),
         ("policy", "rollback"),
         ("policy", "rollback", "1"),
         ("policy", "abort"),
@@ -139,5 +146,5 @@
         ("serve", "--config", "/nowhere/config"),
     ]
     with ThreadPoolExecutor(2) as pool:
-        told = "".join(pool.map(lambda each: run_apart(*each), commands))
-    compare_text("cli/refused.txt", told)
+        transcript = "".join(pool.map(lambda each: transcript_of(*each), commands))
+    compare_text("cli/refused.txt", transcript)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""The packages import one way, without a circle: what a later part may know is written down here."""
+"""Checks that the packages import each other only as listed here, without cycles."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 import unittest
 from pathlib import Path
 
-ROOT = Path(__file__).parent.parent / "spanwing"
-DECISIONS = {"choice", "state", "interface", "settings", "adapter"}
-#: By package or module, what it may import of the project, itself aside.
-MAY = {
+PACKAGE_FOLDER = Path(__file__).parent.parent / "spanwing"
+DECISION_MODULES = {"choice", "state", "interface", "settings", "adapter"}
+#: By package or module of spanwing, the other packages and modules of spanwing that it may import.
+ALLOWED_IMPORTS = {
     "__init__": set(),
     "decisions": set(),
     "actor": set(),
@@ -84,18 +84,19 @@
 }
 
 
-def part(module: str) -> str:
+def layer_of(module: str) -> str:
+    """Returns the key of ALLOWED_IMPORTS for a module; the files of the decision module share one."""
     name = module.split(".")[1] if "." in module else ""
-    return "decisions" if name in DECISIONS else name
+    return "decisions" if name in DECISION_MODULES else name
 
 
-class Layers(unittest.TestCase):
-    def test_imports_point_one_way(self) -> None:
-        wrong = []
-        for path in ROOT.rglob("*.py"):
-            own = part(".".join(("spanwing", *path.relative_to(ROOT).with_suffix("").parts)))
-            if own not in MAY:
-                wrong.append(f"{path.relative_to(ROOT)}: its part is not in the table")
+class LayerTest(unittest.TestCase):
+    def test_imports_are_allowed(self) -> None:
+        violations = []
+        for path in PACKAGE_FOLDER.rglob("*.py"):
+            layer = layer_of(".".join(("spanwing", *path.relative_to(PACKAGE_FOLDER).with_suffix("").parts)))
+            if layer not in ALLOWED_IMPORTS:
+                violations.append(f"{path.relative_to(PACKAGE_FOLDER)}: its layer is not in ALLOWED_IMPORTS")
                 continue
             for node in ast.walk(ast.parse(path.read_text())):
                 names = (
@@ -105,20 +106,22 @@
                 )
                 if names == ["spanwing"]:
                     names = [f"spanwing.{each.name}" for each in node.names]
-                wrong += [
-                    f"{path.relative_to(ROOT)}: {name}"
+                violations += [
+                    f"{path.relative_to(PACKAGE_FOLDER)}: {name}"
                     for name in names
-                    if name.startswith("spanwing.") and part(name) not in MAY[own] | {own}
+                    if name.startswith("spanwing.") and layer_of(name) not in ALLOWED_IMPORTS[layer] | {layer}
                 ]
-        self.assertEqual(wrong, [])
+        self.assertEqual(violations, [])
 
-    def test_allowed_imports_have_no_circle(self) -> None:
-        left = dict(MAY)
-        while left:
-            free = [each for each, needs in left.items() if not needs & set(left)]
-            self.assertTrue(free, f"a circle among {sorted(left)}")
-            for each in free:
-                del left[each]
+    def test_allowed_imports_have_no_cycle(self) -> None:
+        unsorted_layers = dict(ALLOWED_IMPORTS)
+        while unsorted_layers:
+            independent = [
+                layer for layer, imports in unsorted_layers.items() if not imports & set(unsorted_layers)
+            ]
+            self.assertTrue(independent, f"a cycle among {sorted(unsorted_layers)}")
+            for layer in independent:
+                del unsorted_layers[layer]
 
 
 if __name__ == "__main__":
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -1,4 +1,4 @@
-"""What is installed is what the repository holds."""
+"""An installation of the package contains all its files and works without the repository."""
 
 from __future__ import annotations
 
@@ -10,38 +10,39 @@
 
 from player import ROOT
 
-# What an installation copies, by the build system that pyproject.toml names; its command for wheels needs one
-# more package, and takes its files from this one.
-BUILD = "from setuptools import setup; setup()"
+# Runs the build system that pyproject.toml names. The test uses build_py, since bdist_wheel, which takes its
+# files from build_py, needs one more package.
+SETUP_SCRIPT = "from setuptools import setup; setup()"
 
 
-def files(folder: Path) -> set[str]:
+def list_files(folder: Path) -> set[str]:
+    """Returns the paths of all files in the folder, relative to it and without caches."""
     return {
-        str(each.relative_to(folder))
-        for each in folder.rglob("*")
-        if each.is_file() and "__pycache__" not in each.parts
+        str(path.relative_to(folder))
+        for path in folder.rglob("*")
+        if path.is_file() and "__pycache__" not in path.parts
     }
 
 
-def test_an_installation_has_every_file_of_the_tree() -> None:
-    with tempfile.TemporaryDirectory() as name:
-        copy, built = Path(name) / "copy", Path(name) / "built"
-        shutil.copytree(ROOT / "spanwing", copy / "spanwing", ignore=shutil.ignore_patterns("__pycache__"))
+def test_installation_contains_every_file_of_the_package() -> None:
+    with tempfile.TemporaryDirectory() as folder:
+        source, built = Path(folder) / "copy", Path(folder) / "built"
+        shutil.copytree(ROOT / "spanwing", source / "spanwing", ignore=shutil.ignore_patterns("__pycache__"))
         for each in ("pyproject.toml", "README.md"):
-            shutil.copy(ROOT / each, copy)
-        done = subprocess.run(
-            [sys.executable, "-c", BUILD, "-q", "build_py", "--build-lib", str(built)],
-            cwd=copy,
+            shutil.copy(ROOT / each, source)
+        process = subprocess.run(
+            [sys.executable, "-c", SETUP_SCRIPT, "-q", "build_py", "--build-lib", str(built)],
+            cwd=source,
             capture_output=True,
             text=True,
         )
-        assert done.returncode == 0, done.stderr
-        assert files(built / "spanwing") == files(copy / "spanwing")
+        assert process.returncode == 0, process.stderr
+        assert list_files(built / "spanwing") == list_files(source / "spanwing")
         assert [each.name for each in built.iterdir()] == ["spanwing"]
-        done = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-c", "import spanwing.hot_restart.hot_restart"],
             cwd=built,
             capture_output=True,
             text=True,
         )
-        assert done.returncode == 0, done.stderr
+        assert process.returncode == 0, process.stderr
