--- a/spanwing/cli/load.py
+++ b/spanwing/cli/load.py
@@ -83,17 +83,18 @@
 
 
 def print_report(report: LoadTestResult) -> None:
-    """Prints the result of a load test: the requests by outcome, and a table of latencies (ms) by
-    percentile.
+    """Prints the result of a load test: the requests by outcome, and a table of times (ms) by percentile.
+
+    Latency counts from when a request was due, service time from when it was written.
     """
     click.echo(
         f"{report.asked} requests in {report.seconds:.1f} s: "
         + ", ".join(f"{count} {kind}" for kind, count in sorted(report.kinds.items()))
     )
     rows = {
-        "all, from due time": report.latency,
-        "all, from sending": report.service,
-        **{f"{name}, from due time": each for name, each in report.by_class.items()},
+        "all, latency": report.latency,
+        "all, service time": report.service,
+        **{f"{name}, latency": each for name, each in report.by_class.items()},
         "generator lateness": report.late,
     }
     click.echo(f"{'ms at percentile':<30}" + "".join(f"{each:>10}" for each in report.latency))
--- a/spanwing/cli/main.py
+++ b/spanwing/cli/main.py
@@ -17,7 +17,7 @@
 import click
 
 from spanwing.cli import client
-from spanwing.cli.check import check_configuration as check_files
+from spanwing.cli.check import check_configuration
 
 EXIT_REFUSED, EXIT_UNREACHABLE, EXIT_DRAIN_TIMEOUT = 1, 3, 4
 POLL_INTERVAL_S = 0.1  # between two reads of the status during a drain
@@ -97,7 +97,7 @@
     alone, by its ending .toml.
     """
     is_operator_file_only = config.endswith(".toml")
-    faults = check_files(
+    faults = check_configuration(
         None if is_operator_file_only else config, config if is_operator_file_only else fronts
     )
     for setting, problem, remedy in faults:
--- a/spanwing/config.py
+++ b/spanwing/config.py
@@ -44,14 +44,14 @@
 RESERVED_SOCKETS = 28  # for listeners, logs, the event loop, discovery and the members of the store
 MAX_MANAGEMENT_CONNECTIONS = 16  # concurrent connections to the management address
 SOCKETS_PER_BALANCER_LISTENER = 13  # for a listener for balancers with its connections
-MIN_SOCKETS = 64  # least valid limits.sockets without listeners for balancers
-MIN_CONNECTION_SOCKETS = 16  # least descriptors for connections, even if more are reserved than the limit
-BASE_MEMORY_MB = 24  # of a process without open connections
+MIN_SOCKETS = 64  # minimum of limits.sockets without listeners for balancers
+MIN_CONNECTION_SOCKETS = 16  # available to connections, however many sockets are reserved
+BASE_MEMORY_MB = 24  # for a process without open connections
 SECOND_PROCESS_SOCKETS, SECOND_PROCESS_MEMORY_MB = 12, 18  # for the second process of a hot restart
-MIN_MEMORY_MB = 32  # least valid limits.memory_mb
+MIN_MEMORY_MB = 32  # minimum of limits.memory_mb
 CONNECTION_MEMORY_KB = 112  # head, body, read buffer and write buffer at their maximum sizes
-MIN_CONNECTIONS = 32  # least limit on connections by memory
-MIN_CORES = 0.05  # least valid limits.cores
+MIN_CONNECTIONS = 32  # client connections that are allowed however little memory is left
+MIN_CORES = 0.05  # minimum of limits.cores
 
 #: Fields of Configuration that change only with a restart, and the setting that is reported for each.
 RESTART_ONLY_SETTINGS = {
@@ -112,6 +112,7 @@
     known_endpoints: DiscoveredEndpoints = msgspec.field(name="known")
     settings_revision: int = msgspec.field(name="revision")
     settings_json: str = msgspec.field(name="raw_settings")
+    # The settings object as decoded, and as converted for the decision module.
     platform_settings: PlatformSettings = msgspec.field(name="options")
     settings: api.Settings
     management: Address | None
@@ -154,7 +155,7 @@
         return ConnectionShares(client_sockets - faktory, faktory, free_sockets - client_sockets)
 
     def changed_restart_settings(self, previous: Configuration) -> list[str]:
-        """Returns the changed settings that take effect only after a restart, by their outer names."""
+        """Returns the names of the changed settings that take effect only after a restart."""
         return [
             setting
             for name, setting in RESTART_ONLY_SETTINGS.items()
@@ -165,6 +166,7 @@
 def read_file(path: str, setting: str, struct_type: type, decode: Any, errors: ErrorCollector) -> Any:
     """Decodes a file into struct_type and returns the value.
 
+    setting: the name under which errors of the entire file are reported.
     If errors are collected, invalid settings are left out of the value, and it is None if the file cannot be
     read or nothing valid remains. Otherwise raises ConfigurationError for the first error.
     """
--- a/spanwing/daemon.py
+++ b/spanwing/daemon.py
@@ -65,12 +65,13 @@
 HOUR_MS, DAY_MS = 3_600_000.0, 86_400_000.0
 ENDPOINT_LIST_TIMEOUT_S = 1.0  # a start waits this long for an endpoint list before it listens without one
 SHUTDOWN_NOTICE_S = 0.5  # after SIGTERM, new connections are still accepted for this long
-# SIGKILL follows SIGTERM no earlier than min(longest deadline, MAX_DRAIN_DEADLINE_MS) + KILL_MARGIN_MS.
+# The platform sends SIGKILL no earlier than min(longest deadline, MAX_DRAIN_DEADLINE_MS) + KILL_MARGIN_MS
+# after SIGTERM.
 MAX_DRAIN_DEADLINE_MS, KILL_MARGIN_MS = 3000.0, 700.0
 ANSWER_MARGIN_MS = 400.0  # the last answer is due this long before SIGKILL
 MAX_JOURNAL_LOG_LINES = 500  # at a start, for damaged places and for interrupted attempts each
 MIN_CONNECTION_SHARE = 8  # for clients and for workers each, while two processes share the limits
-MAX_SETTLING_CHECKS = 100  # at most 1 s, in checks 10 ms apart, until the last outcomes are in the store
+MAX_SETTLING_CHECKS = 100  # 10 ms apart: a shutdown waits at most 1 s until the store has the last outcomes
 
 
 class Daemon:
@@ -110,7 +111,7 @@
             self.print_address("store", self.store_listener.address)
 
     async def start(self) -> None:
-        """Agrees on the shared settings with the store, starts all components and opens the listeners.
+        """Obtains the settings from the fleet's policy or the store, then starts all components.
 
         Raises ConfigurationError if a setting is invalid or a listener cannot be opened.
         """
@@ -141,9 +142,10 @@
             from spanwing.hot_restart.hot_restart import HotRestart, HotRestartContext
             from spanwing.hot_restart.link import RendezvousSocket
 
-            name = str(Address(*inherited_socket.getsockname()[:2]))
+            rendezvous_name = str(Address(*inherited_socket.getsockname()[:2]))
             hot_restart = self.hot_restart = HotRestart(
-                RendezvousSocket(os.environ.get("TMPDIR") or "/tmp", name), self.apply_connection_shares
+                RendezvousSocket(os.environ.get("TMPDIR") or "/tmp", rendezvous_name),
+                self.apply_connection_shares,
             )
             await hot_restart.connect_to_predecessor()
 
@@ -171,8 +173,8 @@
         self.request_manager.directory = discovery
         self.request_manager.guard.is_list_stale = discovery.is_stale
         self.request_manager.guard.list_breaks_rule = discovery.breaks_rule
-        # The watch starts without an action of the decision module: before the first answer of discovery,
-        # nothing is sent to the workers of the persisted list.
+        # The watch starts even if the decision module does not ask for one: until the first answer of
+        # discovery, nothing is sent to the workers of the persisted list.
         spread_s = start_spread_s(settings.nodes) if settings.subscribe else 0.0
         discovery.watch(spread_s)
         platform_frontend = PlatformFrontend(
@@ -276,10 +278,11 @@
         return self.started.is_set() and not self.is_stopping and self.discovery.announced.is_set()
 
     def open_journal(self) -> None:
-        """Opens the journal, if one is configured, and records all requests from now on.
+        """Opens the journal, if one is configured, and attaches it to the request manager.
 
-        Logs the damaged places and the attempts that an earlier incarnation left unfinished, at most
-        MAX_JOURNAL_LOG_LINES of each. Raises ConfigurationError if the directory cannot be used.
+        The journal closes the attempts that an earlier incarnation left unfinished. These and the damaged
+        places are logged, at most MAX_JOURNAL_LOG_LINES of each. Raises ConfigurationError if the directory
+        cannot be used.
         """
         journal_table = self.config.journal
         if journal_table is None:
@@ -524,7 +527,7 @@
         return remaining_s * 1000.0
 
     def answer_window_s(self) -> float:
-        """Returns how long (s) after SIGTERM an answer is certain to be sent before SIGKILL."""
+        """Returns how long (s) after SIGTERM answers may be sent; ANSWER_MARGIN_MS remain until SIGKILL."""
         longest_ms = max(each.deadline for each in self.request_manager.settings.classes)
         return (min(longest_ms, MAX_DRAIN_DEADLINE_MS) + KILL_MARGIN_MS - ANSWER_MARGIN_MS) / 1000.0
 
@@ -544,20 +547,22 @@
         if not self.started.is_set():  # no request is accepted yet; the wait for a majority may never end
             IOLoop.current().stop()
             return
-        started_s, notice_s = IOLoop.current().time(), SHUTDOWN_NOTICE_S
+        drain_started_s, notice_s = IOLoop.current().time(), SHUTDOWN_NOTICE_S
         if self.hot_restart is not None and self.hot_restart.has_transferred_state:
-            self.answer_deadline_s = started_s + self.answer_window_s()
+            self.answer_deadline_s = drain_started_s + self.answer_window_s()
             if await self.hot_restart.transfer_connections():  # new connections go to the successor
-                started_s, notice_s = IOLoop.current().time(), 0.0
+                drain_started_s, notice_s = IOLoop.current().time(), 0.0
         if self.balancers is not None:
             # Balancers must learn of the drain before connections are rejected. Where an earlier order began
             # the drain, its notice is not started again.
             self.balancers.reporter.drain("signal")
-            notice_s = max(notice_s, self.balancers.reporter.health.drain_orders.notice_ends_at_s - started_s)
+            notice_s = max(
+                notice_s, self.balancers.reporter.health.drain_orders.notice_ends_at_s - drain_started_s
+            )
         await sleep(notice_s)
         # A request that is accepted from here on must be answered before SIGKILL, or it would be lost.
         self.answer_deadline_s = min(
-            self.answer_deadline_s, started_s + notice_s - SHUTDOWN_NOTICE_S + self.answer_window_s()
+            self.answer_deadline_s, drain_started_s + notice_s - SHUTDOWN_NOTICE_S + self.answer_window_s()
         )
         self.http_server.drain()
         if self.faktory_frontend is not None:
