--- a/spanwing/frontends/balancers/listeners.py
+++ b/spanwing/frontends/balancers/listeners.py
@@ -9,16 +9,16 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
+from spanwing.config_errors import ConfigurationError
 from spanwing.core.request_manager import RequestManager
-from spanwing.faults import ConfigurationError
 from spanwing.frontends.admin import AdminFrontend, PolicyOrders, ZoneOrders
 from spanwing.frontends.balancers.agent_check import AgentCheckFrontend, agent_check_reply, feedback_reply
 from spanwing.frontends.balancers.health_checks import HealthFrontend
 from spanwing.frontends.balancers.health_reporter import HealthReporter
 from spanwing.frontends.http_server import HttpServer
-from spanwing.frontsfile import BalancerSettings
 from spanwing.net.buffers import BufferPool
 from spanwing.net.proxied_connections import Network
+from spanwing.operator_file import BalancerSettings
 
 MAX_HEALTH_CONNECTIONS = 12  # connections of the health listener
 
