--- a/measure/zoneday.py
+++ b/measure/zoneday.py
@@ -135,7 +135,7 @@
     fates, aims = Counter[str](), {each.name: each for each in plan.classes}
 
     def told(answered: AnsweredRequest) -> None:
-        if lost <= answered.asked_at_ms < back + AFTER_S * 1000.0:
+        if lost <= answered.arrived_at_ms < back + AFTER_S * 1000.0:
             cls, fate = aims[answered.class_name], answered.outcome
             if fate == "served":
                 fate = (
--- a/spanwing/experiment/score.py
+++ b/spanwing/experiment/score.py
@@ -67,7 +67,7 @@
         for key in (("class", answered.class_name), ("brand", answered.tenant)):
             self.weight_offered[key] += class_spec.priority_weight
             self.weight_earned[key] += earned
-        second = int(answered.asked_at_ms // 1000.0)
+        second = int(answered.arrived_at_ms // 1000.0)
         self.counts_by_second["offered"][second] += 1
         self.counts_by_second[outcome if outcome in self.counts_by_second else "other"][second] += 1
         self.attempt_count += answered.attempt_count
--- a/spanwing/simulation/fleet.py
+++ b/spanwing/simulation/fleet.py
@@ -63,7 +63,7 @@
 class AnsweredRequest(NamedTuple):
     """How one request ended."""
 
-    asked_at_ms: float
+    arrived_at_ms: float
     class_name: str
     tenant: str
     outcome: str  # served, refused, failed, left, lost
