--- a/measure/scale.py
+++ b/measure/scale.py
@@ -43,7 +43,7 @@
     nodes = tuple((f"s{n}", day.zones[n % len(day.zones)]) for n in range(schedulers))
     rate = day.mean_request_rate() * workers / len(names)
     fleet = FleetSimulation(
-        plan._replace(workers=specs, schedulers=nodes, load=plan.load._replace(rate=rate, swing=0.0)), 1
+        plan._replace(workers=specs, schedulers=nodes, load=plan.load._replace(rate=rate, daily_swing=0.0)), 1
     )
     return fleet, 1000.0 * REQUESTS / rate
 
--- a/spanwing/simulation/clients.py
+++ b/spanwing/simulation/clients.py
@@ -83,7 +83,7 @@
     """Describes how many requests arrive, and how they are distributed."""
 
     rate: float  # requests a second, on average
-    swing: float = 0.0  # relative amplitude of the rate's one cycle over the day
+    daily_swing: float = 0.0  # relative amplitude of the rate's one cycle over the day
     day_ms: float = 60_000.0
     key_count: int = 1000
     zipf_exponent: float = 1.1  # of the keys' popularity
@@ -133,7 +133,7 @@
         streams: RandomStreams,
     ) -> None:
         assert load.rate > 0
-        assert 0 <= load.swing < 1
+        assert 0 <= load.daily_swing < 1
         assert classes
         assert tenants
         self.load_spec, self.classes, self.tenants, self.request_count = load, classes, tenants, 0
@@ -162,7 +162,7 @@
 
     def rate_at(self, time_ms: float) -> float:
         """Returns the arrival rate at this time of the day, in requests a second."""
-        shape = 1.0 + self.load_spec.swing * math.sin(2 * math.pi * (time_ms / self.load_spec.day_ms - 0.25))
+        shape = 1.0 + self.load_spec.daily_swing * math.sin(2 * math.pi * (time_ms / self.load_spec.day_ms - 0.25))
         return self.load_spec.rate * shape * self._tenant_weights()[1]
 
     def _tenant_weights(self) -> tuple[list[float], float]:
@@ -171,7 +171,7 @@
 
     def next_request(self) -> GeneratedRequest:
         """Returns the next request; it never arrives before the previous one."""
-        max_rate = self.load_spec.rate * (1.0 + self.load_spec.swing) * self._tenant_weights()[1]
+        max_rate = self.load_spec.rate * (1.0 + self.load_spec.daily_swing) * self._tenant_weights()[1]
         while True:
             self.last_arrival_ms += self.draw_gap() * 1000.0 / max_rate
             if self.uniform_draws["thin"]() * max_rate <= self.rate_at(self.last_arrival_ms):
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -66,7 +66,7 @@
             "workers": workers,
             "schedulers": (("s0", "a"), ("s1", "b")),
             "classes": CLASSES,
-            "load": LoadSpec(rate, swing=0.3, day_ms=6000.0, impatient_share=0.03, attempt_work_cv=0.2),
+            "load": LoadSpec(rate, daily_swing=0.3, day_ms=6000.0, impatient_share=0.03, attempt_work_cv=0.2),
             "retries": RetrySpec(2, "exponential"),
             **changes,
         }
@@ -359,7 +359,7 @@
 
     def test_arrivals_follow_the_days_shape_and_a_flood(self) -> None:
         clients = ClientModel(
-            LoadSpec(1000.0, swing=0.5, day_ms=10_000.0), CLASSES, plan().tenants, RandomStreams(4)
+            LoadSpec(1000.0, daily_swing=0.5, day_ms=10_000.0), CLASSES, plan().tenants, RandomStreams(4)
         )
         times = []
         while (wanted := clients.next_request()).arrives_at_ms < 10_000.0:
