--- a/measure/zoneday.py
+++ b/measure/zoneday.py
@@ -181,7 +181,7 @@
         "open_ms": next((at - back for at, state in mine if state == "open"), None),
         "left": sum(state == "leaving" for _, _, state, _ in fleet.zone_changes),
         "false_alarms": others,
-        "messages_s": getattr(fleet, "messages", 0) / (fleet.event_queue.now_ms / 1000.0),
+        "messages_s": getattr(fleet, "renewal_count", 0) / (fleet.event_queue.now_ms / 1000.0),
         "bytes_s": getattr(fleet, "bytes", 0) / (fleet.event_queue.now_ms / 1000.0),
     }
 
--- a/spanwing/simulation/zone_fleet.py
+++ b/spanwing/simulation/zone_fleet.py
@@ -342,7 +342,7 @@
     def __init__(self, *given: Any, regions: dict[str, tuple[str, ...]] | None = None, **more: Any) -> None:
         super().__init__(*given, **more)
         self.regions, self.document, self.incarnation_count = regions or {}, Document(), 0
-        self.bytes = self.messages = 0  # of renewals
+        self.bytes = self.renewal_count = 0  # of renewals
         self.zone_changes: list[tuple[float, str, str, str]] = []  # time (ms), zone, state, reason
         self.random_source = random.Random(self.schedulers[0].seed + 1)
         self.followers: dict[str, SimulatedFollower] = {}
@@ -436,7 +436,7 @@
 
     def forward_renewal(self, follower: SimulatedFollower, renewal: Renew, evidence_bytes: int) -> None:
         """Sends a renewal to the leader, whose answer goes back to the follower."""
-        self.messages, self.bytes = self.messages + 1, self.bytes + evidence_bytes
+        self.renewal_count, self.bytes = self.renewal_count + 1, self.bytes + evidence_bytes
         leader = self.leader
         leader_zone = self.followers[self.leading_member].scheduler.zone if leader is not None else ""
         delay_ms = (
