--- a/measure/zoneday.py
+++ b/measure/zoneday.py
@@ -126,7 +126,7 @@
 def play(scenario: str, seed: int, way: str = "none", times: int = 1) -> dict[str, Any]:
     """One day; times: so many times the schedulers, the workers and the jobs."""
     text = (resources.files("spanwing.simulation") / "scenarios" / f"{scenario}.toml").read_bytes()
-    day = msgspec.structs.replace(parse_scenario(text, ErrorCollector()), times=times)
+    day = msgspec.structs.replace(parse_scenario(text, ErrorCollector()), size_multiple=times)
     loss = next((each for each in day.faults if each.what == "zone_lost"), None)
     zone, lost, back = "", day.day_ms, day.day_ms  # a day on which no zone may be left
     if loss is not None:
--- a/spanwing/simulation/scenario.py
+++ b/spanwing/simulation/scenario.py
@@ -142,7 +142,9 @@
     name: ScenarioName
     description: str = msgspec.field(default="", name="about")
     seconds: Annotated[float, msgspec.Meta(gt=0, le=86_400)]
-    times: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 1
+    size_multiple: Annotated[int, msgspec.Meta(ge=1, le=1000)] = msgspec.field(
+        default=1, name="times"
+    )  # of workers, schedulers and load
     scheduler_count: Annotated[int, msgspec.Meta(ge=1, le=1000)] = msgspec.field(name="schedulers")
     zones: list[ScenarioName]
     decision_ms: NonNegativeNumber = 0.0
@@ -165,12 +167,16 @@
 
     def scheduler_names_and_zones(self) -> list[tuple[str, str]]:
         """Returns the name and zone of every scheduler."""
-        return [(f"s{n}", self.zones[n % len(self.zones)]) for n in range(self.scheduler_count * self.times)]
+        return [
+            (f"s{n}", self.zones[n % len(self.zones)])
+            for n in range(self.scheduler_count * self.size_multiple)
+        ]
 
     def mean_request_rate(self) -> float:
         """Computes the mean rate in requests a second, from the level and the capacity of warm workers."""
         capacity = sum(
-            each.count * self.times * min(each.cores, each.slots) * each.speed for each in self.workers
+            each.count * self.size_multiple * min(each.cores, each.slots) * each.speed
+            for each in self.workers
         )
         share_sum = sum(each.share for each in self.classes)
         mean_work_ms = (
@@ -188,7 +194,7 @@
         """Builds the plan of the simulated fleet; worker speeds are drawn from the seed."""
         specs, speed_stream = [], RandomStreams(seed).stream("workers", "speed")
         for table in self.workers:
-            for number in range(table.count * self.times):
+            for number in range(table.count * self.size_multiple):
                 speed = table.speed * math.exp(float(speed_stream.normal()) * table.speed_cv)
                 specs.append(
                     WorkerSpec(
@@ -277,9 +283,9 @@
             for name in sorted(set(names) - set(self.zones)):
                 yield f"regions.{region}", f"{name!r} is none of {', '.join(self.zones)}"
         kinds = {each.kind for each in self.workers}
-        if sum(each.count for each in self.workers) * self.times > MAX_WORKERS:
+        if sum(each.count for each in self.workers) * self.size_multiple > MAX_WORKERS:
             yield "workers", f"more than {MAX_WORKERS} in all"
-        if self.scheduler_count * self.times > MAX_SCHEDULERS:
+        if self.scheduler_count * self.size_multiple > MAX_SCHEDULERS:
             yield "schedulers", f"more than {MAX_SCHEDULERS} in all"
         for number, each in enumerate(self.classes):
             prefix = f"classes[{number}]"
