--- a/measure/zoneday.py
+++ b/measure/zoneday.py
@@ -127,10 +127,10 @@
     """One day; times: so many times the schedulers, the workers and the jobs."""
     text = (resources.files("spanwing.simulation") / "scenarios" / f"{scenario}.toml").read_bytes()
     day = msgspec.structs.replace(parse_scenario(text, ErrorCollector()), size_multiple=times)
-    loss = next((each for each in day.faults if each.what == "zone_lost"), None)
+    loss = next((each for each in day.faults if each.fault_kind == "zone_lost"), None)
     zone, lost, back = "", day.day_ms, day.day_ms  # a day on which no zone may be left
     if loss is not None:
-        zone, lost, back = loss.zone, loss.at * 1000.0, (loss.at + loss.lasts) * 1000.0
+        zone, lost, back = loss.zone, loss.begin_s * 1000.0, (loss.begin_s + loss.duration_s) * 1000.0
     plan = day.build_plan(seed)
     fates, aims = Counter[str](), {each.name: each for each in plan.classes}
 
--- a/spanwing/experiment/cell.py
+++ b/spanwing/experiment/cell.py
@@ -81,7 +81,11 @@
         "series": tally.series_by_second(seconds),
         "digest": simulation.digest.hexdigest(),
         "troubles": [
-            [each.what, each.at, each.at + each.lasts if each.lasts else scenario.seconds]
+            [
+                each.fault_kind,
+                each.begin_s,
+                each.begin_s + each.duration_s if each.duration_s else scenario.seconds,
+            ]
             for each in scenario.faults
         ],
     }
--- a/spanwing/simulation/fault_injection.py
+++ b/spanwing/simulation/fault_injection.py
@@ -39,14 +39,14 @@
 class FaultSpec(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """One fault of a scenario; times in seconds from the begin of the day."""
 
-    what: FaultKind
-    at: float
-    lasts: float = 0.0  # s; 0: until the end of the day
-    share: float = 0.0  # of the workers, or of one scheduler's CPU, or of the requests
-    times: float = 0.0  # multiple of the load or work, or the part of the speed that remains
-    brand: str = ""
-    kind: str = ""  # of worker; empty: all kinds
-    between: tuple[str, str] = ("", "")  # two zones
+    fault_kind: FaultKind = msgspec.field(name="what")
+    begin_s: float = msgspec.field(name="at")
+    duration_s: float = msgspec.field(default=0.0, name="lasts")  # 0: until the end of the day
+    share: float = 0.0  # of the workers or schedulers, of one scheduler's CPU, or of the attempts
+    times: float = 0.0  # multiple of the load or the work, or the part of the speed that remains
+    tenant: str = msgspec.field(default="", name="brand")
+    worker_kind: str = msgspec.field(default="", name="kind")  # empty: all kinds
+    zone_pair: tuple[str, str] = msgspec.field(default=("", ""), name="between")
     scheduler: str = ""
     zone: str = ""
 
@@ -55,27 +55,29 @@
     ) -> list[tuple[str, str]]:
         """Returns what is not possible, as pairs of field and error."""
         errors = []
-        if not 0 <= self.at < day_s:
-            errors.append(("at", f"{self.at:g} is not within the day, 0 to {day_s:g}"))
-        if not 0 <= self.lasts <= day_s:
-            errors.append(("lasts", f"{self.lasts:g} is not possible"))
-        for name, bounds in REQUIRED_FIGURES[self.what].items():
+        if not 0 <= self.begin_s < day_s:
+            errors.append(("at", f"{self.begin_s:g} is not within the day, 0 to {day_s:g}"))
+        if not 0 <= self.duration_s <= day_s:
+            errors.append(("lasts", f"{self.duration_s:g} is not possible"))
+        for name, bounds in REQUIRED_FIGURES[self.fault_kind].items():
             value = getattr(self, name)
             minimum, maximum = bounds
             if not minimum <= value <= maximum:
                 errors.append(
-                    (name, f"{value:g} is not possible for {self.what}, {minimum:g} to {maximum:g} are")
+                    (name, f"{value:g} is not possible for {self.fault_kind}, {minimum:g} to {maximum:g} are")
                 )
         for name, value, known_names, fault_kinds in (
-            ("brand", self.brand, tenants, ("flood",)),
+            ("brand", self.tenant, tenants, ("flood",)),
             ("zone", self.zone, zones, ("zone_lost",)),
             ("scheduler", self.scheduler, schedulers, ("stolen_cpu", "scheduler_stop")),
         ):
-            if self.what in fault_kinds and value not in known_names:
+            if self.fault_kind in fault_kinds and value not in known_names:
                 errors.append((name, f"{value!r} is none of {', '.join(sorted(known_names))}"))
-        if self.kind and self.kind not in kinds:
-            errors.append(("kind", f"{self.kind!r} is none of {', '.join(sorted(kinds))}"))
-        if self.what == "partition" and (not set(self.between) <= zones or len(set(self.between)) < 2):
+        if self.worker_kind and self.worker_kind not in kinds:
+            errors.append(("kind", f"{self.worker_kind!r} is none of {', '.join(sorted(kinds))}"))
+        if self.fault_kind == "partition" and (
+            not set(self.zone_pair) <= zones or len(set(self.zone_pair)) < 2
+        ):
             errors.append(("between", f"needs two of {', '.join(sorted(zones))}"))
         return errors
 
@@ -111,9 +113,9 @@
     def __init__(self, simulation: FleetSimulation, faults: tuple[FaultSpec, ...], day_ms: float) -> None:
         self.simulation, self.active_count = simulation, Counter[tuple[str, int]]()
         for number, each in enumerate(faults):
-            begin_ms = each.at * 1000.0
-            end_ms = begin_ms + each.lasts * 1000.0 if each.lasts else day_ms
-            start, stop = getattr(self, f"_{each.what}")(each, number, begin_ms, end_ms)
+            begin_ms = each.begin_s * 1000.0
+            end_ms = begin_ms + each.duration_s * 1000.0 if each.duration_s else day_ms
+            start, stop = getattr(self, f"_{each.fault_kind}")(each, number, begin_ms, end_ms)
             simulation.event_queue.schedule_at(begin_ms, start)
             if stop is not None:
                 simulation.event_queue.schedule_at(end_ms, stop)
@@ -123,7 +125,7 @@
         eligible = [
             each
             for each in self.simulation.worker_hosts.values()
-            if fault.kind in ("", each.worker.spec.kind)
+            if fault.worker_kind in ("", each.worker.spec.kind)
         ]
         count = max(1, round(fault.share * len(eligible)))
         chosen = self.simulation.streams.stream("trouble", fault_index).permutation(len(eligible))[:count]
@@ -190,7 +192,7 @@
         return self._multiply_load([each.name for each in self.simulation.plan.tenants], fault.times)
 
     def _flood(self, fault: FaultSpec, *_: float):
-        return self._multiply_load([fault.brand], fault.times)
+        return self._multiply_load([fault.tenant], fault.times)
 
     def _multiply_load(self, tenants: list[str], factor: float):
         load_factors = self.simulation.clients.load_factor_by_tenant
@@ -204,7 +206,7 @@
         return begin, end
 
     def _partition(self, fault: FaultSpec, *_: float):
-        network, between = self.simulation.network, fault.between
+        network, between = self.simulation.network, fault.zone_pair
         return lambda: network.partition(*between), lambda: network.heal_partition(*between)
 
     def _stolen_cpu(self, fault: FaultSpec, *_: float):
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -81,20 +81,20 @@
 
 class Played(unittest.TestCase):
     def test_every_trouble_begins_and_ends(self) -> None:
-        common = {"at": 2.0, "lasts": 2.0}
+        common = {"begin_s": 2.0, "duration_s": 2.0}
         troubles = [
             FaultSpec(**common, **each)
             for each in (
-                {"what": "silent", "share": 0.3},
-                {"what": "fast_failing", "share": 0.3},
-                {"what": "neighbour", "share": 0.5, "times": 0.4},
-                {"what": "crash", "share": 0.2},
-                {"what": "heavy_tail", "share": 0.05, "times": 20.0},
-                {"what": "cold_snap", "times": 2.0},
-                {"what": "flood", "times": 5.0, "brand": "burren"},
-                {"what": "discovery_down"},
-                {"what": "partition", "between": ("galway", "dublin")},
-                {"what": "stolen_cpu", "share": 0.9, "scheduler": "s0"},
+                {"fault_kind": "silent", "share": 0.3},
+                {"fault_kind": "fast_failing", "share": 0.3},
+                {"fault_kind": "neighbour", "share": 0.5, "times": 0.4},
+                {"fault_kind": "crash", "share": 0.2},
+                {"fault_kind": "heavy_tail", "share": 0.05, "times": 20.0},
+                {"fault_kind": "cold_snap", "times": 2.0},
+                {"fault_kind": "flood", "times": 5.0, "tenant": "burren"},
+                {"fault_kind": "discovery_down"},
+                {"fault_kind": "partition", "zone_pair": ("galway", "dublin")},
+                {"fault_kind": "stolen_cpu", "share": 0.9, "scheduler": "s0"},
             )
         ]
         made = scenario()
@@ -140,8 +140,8 @@
         FaultInjector(
             fleet,
             (
-                FaultSpec(what="zone_lost", at=1.0, lasts=2.0, zone="galway"),
-                FaultSpec(what="schedulers_killed", at=1.5, lasts=2.0, share=0.5),
+                FaultSpec(fault_kind="zone_lost", begin_s=1.0, duration_s=2.0, zone="galway"),
+                FaultSpec(fault_kind="schedulers_killed", begin_s=1.5, duration_s=2.0, share=0.5),
             ),
             made.day_ms,
         )
@@ -164,7 +164,9 @@
         made = scenario("fleet-join")
         fleet, told = FleetSimulation(made.build_plan(1), 1), []
         fleet.on_answered = told.append
-        FaultInjector(fleet, (FaultSpec(what="join", at=1.0, lasts=2.0, share=0.6),), made.day_ms)
+        FaultInjector(
+            fleet, (FaultSpec(fault_kind="join", begin_s=1.0, duration_s=2.0, share=0.6),), made.day_ms
+        )
         fleet.run(4000.0)
         alive = [each for each in fleet.worker_hosts.values() if not each.worker.is_down]
         self.assertEqual(
@@ -201,7 +203,8 @@
                 FaultInjector(
                     fleet,
                     tuple(
-                        FaultSpec(what="stolen_cpu", at=0.0, share=share, scheduler=f"s{n}") for n in range(4)
+                        FaultSpec(fault_kind="stolen_cpu", begin_s=0.0, share=share, scheduler=f"s{n}")
+                        for n in range(4)
                     ),
                     made.day_ms,
                 )
