--- a/spanwing/simulation/event_queue.py
+++ b/spanwing/simulation/event_queue.py
@@ -1,8 +1,9 @@
-"""Event queue of simulated time.
+"""Event queue that advances simulated time.
 
-Calls are made in order of their time, and at the same time in the order in which they were scheduled. Time
-never steps back, and a cancelled call is not made. Bounded by MAX_SCHEDULED_CALLS pending entries: a
-simulation that schedules more than it executes fails with AssertionError.
+Calls are made in order of their due time; calls due at the same time are made in the order in which they
+were scheduled. Time never goes backwards, and cancelled calls are skipped. The queue holds at most
+MAX_SCHEDULED_CALLS entries; a simulation that schedules more calls than it executes fails with
+AssertionError instead of exhausting memory.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class ScheduledCall:
-    """One call that is due; cancel() withdraws it."""
+    """A call scheduled at a simulated time, in ms."""
 
     __slots__ = ("arguments", "callback", "due_at_ms", "sequence")
 
@@ -30,7 +31,7 @@
         )
 
     def cancel(self) -> None:
-        """Withdraws the call; it stays in the queue and is skipped when due."""
+        """Cancels the call. Its entry stays in the queue and is skipped when due."""
         self.callback = None
 
     def __lt__(self, other: ScheduledCall) -> bool:
@@ -38,7 +39,7 @@
 
 
 class EventQueue:
-    """Holds the current simulated time and the calls that are due."""
+    """Holds the current simulated time in ms and the scheduled calls."""
 
     def __init__(self) -> None:
         self.now_ms = 0.0
@@ -48,11 +49,11 @@
     def schedule_at(
         self, due_at_ms: float, callback: Callable[..., object], *arguments: Any
     ) -> ScheduledCall:
-        """Schedules a call at this time (ms), or now if that time is past.
+        """Schedules a call at a time in ms, or at the current time if that is later.
 
         Raises AssertionError if the time is NaN or the queue is full.
         """
-        assert due_at_ms == due_at_ms, due_at_ms
+        assert due_at_ms == due_at_ms, due_at_ms  # false for NaN
         assert len(self.pending) < MAX_SCHEDULED_CALLS, len(self.pending)
         self.scheduled_count += 1
         scheduled = ScheduledCall(max(due_at_ms, self.now_ms), self.scheduled_count, callback, arguments)
@@ -62,11 +63,11 @@
     def schedule_after(
         self, delay_ms: float, callback: Callable[..., object], *arguments: Any
     ) -> ScheduledCall:
-        """Schedules a call after this delay, in ms."""
+        """Schedules a call after a delay in ms."""
         return self.schedule_at(self.now_ms + delay_ms, callback, *arguments)
 
     def run_until(self, end_ms: float) -> None:
-        """Makes all calls that are due up to this time (ms), then sets the time to it."""
+        """Makes all calls that are due at or before `end_ms`, then sets the time to `end_ms`."""
         while self.pending and self.pending[0].due_at_ms <= end_ms:
             scheduled = heapq.heappop(self.pending)
             if scheduled.callback is None:
--- a/spanwing/simulation/network.py
+++ b/spanwing/simulation/network.py
@@ -1,7 +1,7 @@
-"""Models the network between sites: how long a message takes, and whether it arrives.
+"""Models the network between zones: how long a message takes, and whether it arrives.
 
-Pure. The base delay of each pair of zones is drawn once from the seed, and each message has its own jitter
-around it. Messages between two zones that a partition separates are lost, in both directions.
+Does no I/O. The base delay of each pair of zones is drawn once from the seed, and each message multiplies it
+by a jitter factor of its own. A partition between two zones loses their messages in both directions.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 
 
 class NetworkDelays(NamedTuple):
-    """One-way delays in ms: bounds of each pair's base delay, and the jitter's coefficient of variation."""
+    """Lower and upper bounds of the one-way base delays, in ms, and the variation of single messages."""
 
-    same: tuple[float, float] = (0.1, 0.34)
-    cross: tuple[float, float] = (0.48, 0.9)
-    client: tuple[float, float] = (0.23, 1.2)
-    jitter_cv: float = 0.18
+    same_zone_ms: tuple[float, float] = (0.1, 0.34)
+    cross_zone_ms: tuple[float, float] = (0.48, 0.9)
+    client_ms: tuple[float, float] = (0.23, 1.2)  # between clients and any zone
+    jitter_cv: float = 0.18  # coefficient of variation
 
 
 class NetworkModel:
-    """Computes message delays between zones; the clients' side is the zone ""."""
+    """Computes message delays between zones. Clients are addressed as the zone ""."""
 
     def __init__(self, delays: NetworkDelays, streams: RandomStreams) -> None:
         self.delays, self.streams = delays, streams
@@ -36,8 +36,8 @@
         """Returns the base delay of a pair of zones, in ms."""
         pair = (min(zone, other_zone), max(zone, other_zone))
         if pair not in self.base_delays_ms:
-            kind = "client" if "" in pair else "same" if zone == other_zone else "cross"
-            minimum, maximum = getattr(self.delays, kind)
+            field = "client_ms" if "" in pair else "same_zone_ms" if zone == other_zone else "cross_zone_ms"
+            minimum, maximum = getattr(self.delays, field)
             self.base_delays_ms[pair] = float(self.streams.stream("network", *pair).uniform(minimum, maximum))
         return self.base_delays_ms[pair]
 
@@ -50,7 +50,7 @@
     def _jitter_factor(self) -> float:
         """Returns a lognormal factor of mean 1.
 
-        Drawn 1000 at a time, as single draws would cost more than the rest of the simulation.
+        Factors are drawn 1000 at a time: single draws would cost more than the rest of the simulation.
         """
         if self.delays.jitter_cv <= 0:
             return 1.0
@@ -60,7 +60,7 @@
         return self.buffered_jitter.pop()
 
     def partition(self, zone: str, other_zone: str) -> None:
-        """Loses all messages between the two zones from now on."""
+        """Starts a partition: messages between the two zones are lost until heal_partition()."""
         self.partitioned_pairs.add(frozenset((zone, other_zone)))
 
     def heal_partition(self, zone: str, other_zone: str) -> None:
--- a/spanwing/simulation/random_streams.py
+++ b/spanwing/simulation/random_streams.py
@@ -1,7 +1,7 @@
-"""Random number streams by name: one more draw from one stream does not move any other.
+"""Named random number streams of one seed: draws from one stream do not affect the others.
 
-The same seed and name give the same numbers, in whatever order and process the streams are created. Streams
-of different names are independent (numpy's SeedSequence, after M. E. O'Neill's seed_seq).
+The same seed and name give the same numbers, in any process and whatever the order in which streams are
+created. Streams of different names are independent (numpy's SeedSequence, after M. E. O'Neill's seed_seq).
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class RandomStreams:
-    """Holds all streams of one seed."""
+    """Creates and holds the streams of one seed, a non-negative integer."""
 
     def __init__(self, seed: int) -> None:
         assert seed >= 0
@@ -20,7 +20,7 @@
         self.generators: dict[tuple[str, ...], np.random.Generator] = {}
 
     def stream(self, *name: object) -> np.random.Generator:
-        """Returns the stream of this name; the first call creates it at its beginning."""
+        """Returns the stream of this name, created on first use. Name parts are compared as strings."""
         key = tuple(str(each) for each in name)
         if key not in self.generators:
             digest = hashlib.blake2b("\0".join(key).encode(), digest_size=16).digest()
