--- a/spanwing/simulation/fleet.py
+++ b/spanwing/simulation/fleet.py
@@ -132,8 +132,8 @@
         self.work_noise_stream = self.streams.stream("workers", "noise")
         self.discovery_lag_stream = self.streams.stream("discovery")
         self.heavy_tail_stream = self.streams.stream("workers", "tail")
-        self.tail = (0.0, 1.0)  # share of attempts, and the multiple of their work
-        self.discovery_up, self.unannounced_workers = True, set[int]()
+        self.heavy_tail = (0.0, 1.0)  # share of attempts, and the multiple of their work
+        self.is_discovery_up, self.unannounced_workers = True, set[int]()
         self.attempt_count = 0
         self.digest = hashlib.blake2b(digest_size=16)  # of all answers
         for node in self.schedulers:
@@ -405,8 +405,8 @@
         work = generated.work_ms * (
             1.0 if work_cv <= 0 else float(self.work_noise_stream.lognormal(-work_cv * work_cv / 2, work_cv))
         )
-        if self.tail[0] > 0 and float(self.heavy_tail_stream.random()) < self.tail[0]:
-            work *= self.tail[1]
+        if self.heavy_tail[0] > 0 and float(self.heavy_tail_stream.random()) < self.heavy_tail[0]:
+            work *= self.heavy_tail[1]
         job = WorkerJob(
             attempt_key,
             work,
@@ -423,13 +423,13 @@
         if attempt_key in worker.accepted_jobs:
             self.accounting.requested_work += work
             self.attempt_count += 1
-        if not worker.silent and attempt_key in worker.accepted_jobs:
+        if not worker.is_silent and attempt_key in worker.accepted_jobs:
             delay = self.network.message_delay_ms(worker.spec.zone, scheduler.zone)
             if delay is not None:
                 scheduler.schedule_work(
                     delay, self.plan.decision_ms, scheduler.attempt_accepted, request_id, attempt_number
                 )
-        if worker.silent:
+        if worker.is_silent:
             self.event_queue.schedule_after(
                 ACCEPT_TIMEOUT_MS,
                 self._accept_timed_out,
@@ -464,7 +464,7 @@
         """Cancels an attempt of a scheduler; it ends once the worker has been notified."""
         host = self.worker_hosts.get(worker_id)
         delay = None if host is None else self.network.message_delay_ms(scheduler.zone, host.worker.spec.zone)
-        if delay is None or host.worker.is_down or host.worker.silent:
+        if delay is None or host.worker.is_down or host.worker.is_silent:
             self.event_queue.schedule_at(
                 self.event_queue.now_ms, scheduler.attempt_ended, request_id, attempt_number, result
             )
@@ -538,7 +538,7 @@
         """Probes a worker; the result arrives after a round trip, or as `unreachable` after 500 ms."""
         host = self.worker_hosts.get(worker_id)
         delay = None if host is None else self.network.message_delay_ms(scheduler.zone, host.worker.spec.zone)
-        if delay is None or host.worker.is_down or host.worker.silent:
+        if delay is None or host.worker.is_down or host.worker.is_silent:
             self.event_queue.schedule_after(
                 500.0, scheduler.receive_event, api.ProbeResult(worker_id, "unreachable", 500.0)
             )
@@ -562,7 +562,7 @@
     def set_phase(self, host: WorkerHost, phase: api.State) -> None:
         """Publishes a worker's new phase; each scheduler learns of it after a discovery lag of its own."""
         host.phase = phase
-        if not self.discovery_up:
+        if not self.is_discovery_up:
             self.unannounced_workers.add(host.worker_id)
             return
         for node in self.schedulers:
@@ -575,7 +575,7 @@
 
     def restore_discovery(self) -> None:
         """Restores discovery, and publishes what has changed meanwhile."""
-        self.discovery_up = True
+        self.is_discovery_up = True
         for number in sorted(self.unannounced_workers):
             self.set_phase(self.worker_hosts[number], self.worker_hosts[number].phase)
         self.unannounced_workers.clear()
--- a/spanwing/simulation/scheduler.py
+++ b/spanwing/simulation/scheduler.py
@@ -107,7 +107,7 @@
         self.open_attempts: dict[tuple[str, int], SimulatedAttempt] = {}
         self.zone_routing: ZoneRoutingModel | None = None
         self.is_up = True
-        self.stolen = 0.0  # part of its CPU that other processes take
+        self.stolen_cpu_share = 0.0  # part of its CPU that other processes take
         self.cpu_busy_until_ms = 0.0
         self.event_count = 0  # events that the decision module handled
         self.probe_count = 0
@@ -147,7 +147,7 @@
 
     def _queue_on_cpu(self, cpu_ms: float, callback: Callable[..., object], *arguments: Any) -> None:
         self.cpu_busy_until_ms = max(self.cpu_busy_until_ms, self.event_queue.now_ms) + cpu_ms / (
-            1.0 - self.stolen
+            1.0 - self.stolen_cpu_share
         )
         self.event_queue.schedule_at(self.cpu_busy_until_ms, callback, *arguments)
 
--- a/spanwing/simulation/worker.py
+++ b/spanwing/simulation/worker.py
@@ -108,9 +108,9 @@
     started_at_ms: float = 0.0
     now_ms: float = 0.0
     work_clock: float = 0.0  # work done on a job that ran since the start
-    slowed: float = 1.0  # part of the speed left by a neighbour or stolen CPU
-    silent: bool = False  # accepts jobs and sends no events
-    fast_failing: bool = False
+    speed_factor: float = 1.0  # part of the speed left by a neighbour or stolen CPU
+    is_silent: bool = False  # accepts jobs and sends no events
+    fails_fast: bool = False
     is_draining: bool = False
     is_down: bool = False
     work_totals: WorkerWorkTotals = field(default_factory=WorkerWorkTotals)
@@ -141,7 +141,7 @@
     def work_rate(self) -> float:
         """Returns the work done on each running job in one ms."""
         share = min(1.0, self.spec.cores / self.slots_in_use) if self.slots_in_use else 1.0
-        return self.spec.speed * self.capacity_fraction() * self.slowed * share
+        return self.spec.speed * self.capacity_fraction() * self.speed_factor * share
 
     def load_ratio(self) -> float:
         """Returns the slots of all accepted jobs divided by the slots of the current capacity."""
@@ -158,7 +158,7 @@
             return events
         if self.is_draining or job.slots > self.spec.slots or job.memory > self.spec.memory:
             return [*events, JobEnded(job.attempt_key, "full")]
-        if self.fast_failing:
+        if self.fails_fast:
             return [*events, JobEnded(job.attempt_key, "error")]
         if job.idempotency_key and self.deduplicated_until.get(job.idempotency_key, -math.inf) > now_ms:
             return [
@@ -270,7 +270,7 @@
                 continue
             result: JobResult = "error" if accepted.job.will_fail else "ok"
             self._remove_job(accepted, result)
-            if not self.silent:
+            if not self.is_silent:
                 events.append(JobEnded(accepted.job.attempt_key, result))
             events += self._start_queued_jobs()
         for accepted in [
@@ -358,7 +358,7 @@
             heapq.heappush(self.running_jobs, (accepted.ends_at_work, accepted.arrival_number, accepted))
             if not accepted.has_begun:
                 accepted.has_begun = True
-                if not self.silent:
+                if not self.is_silent:
                     events.append(JobBegan(accepted.job.attempt_key))
             index = 0 if self.spec.queue_discipline == "backfill" else index
         self._check_overload()
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -105,16 +105,16 @@
         fleet.event_queue.run_until(3000.0)
         workers = [place.worker for place in fleet.worker_hosts.values()]
         during = (
-            sum(each.silent for each in workers),
-            sum(each.fast_failing for each in workers),
-            sum(each.slowed < 1 for each in workers),
+            sum(each.is_silent for each in workers),
+            sum(each.fails_fast for each in workers),
+            sum(each.speed_factor < 1 for each in workers),
             sum(each.is_down for each in workers),
         )
         self.assertTrue(all(during), during)
         self.assertEqual(
             (
                 fleet.clients.load_factor_by_tenant["burren"],
-                fleet.discovery_up,
+                fleet.is_discovery_up,
                 len(fleet.network.partitioned_pairs),
             ),
             (100.0, False, 1),
@@ -122,17 +122,19 @@
         fleet.event_queue.run_until(4100.0)
         workers = [place.worker for place in fleet.worker_hosts.values()]
         self.assertFalse(
-            any(each.silent or each.fast_failing or each.slowed < 1 or each.is_down for each in workers)
+            any(
+                each.is_silent or each.fails_fast or each.speed_factor < 1 or each.is_down for each in workers
+            )
         )
         self.assertEqual(
             (
                 fleet.clients.load_factor_by_tenant["burren"],
-                fleet.discovery_up,
+                fleet.is_discovery_up,
                 len(fleet.network.partitioned_pairs),
             ),
             (1.0, True, 0),
         )
-        self.assertEqual((fleet.tail, fleet.schedulers[0].stolen), ((0.0, 1.0), 0.0))
+        self.assertEqual((fleet.heavy_tail, fleet.schedulers[0].stolen_cpu_share), ((0.0, 1.0), 0.0))
 
     def test_a_zone_is_lost_and_schedulers_are_killed_and_all_come_back(self) -> None:
         made = scenario("fleet-calm")
