--- a/spanwing/simulation/fault_injection.py
+++ b/spanwing/simulation/fault_injection.py
@@ -70,7 +70,7 @@
                 errors.append(
                     (
                         name,
-                        f"{value:g} is out of range for {self.fault_kind}, {minimum:g} to {maximum:g} is allowed",
+                        f"{value:g} is out of range for {self.fault_kind} ({minimum:g} to {maximum:g})",
                     )
                 )
         for name, value, known_names, fault_kinds in (
