--- a/spanwing/simulation/worker.py
+++ b/spanwing/simulation/worker.py
@@ -1,14 +1,14 @@
-"""Simulates a worker: cores, slots, a queue, memory, slow start, and overload that stops it.
+"""Simulates a worker: cores, slots, a queue, memory, slow start, and a crash under overload.
 
-Pure. Every job that is submitted ends in exactly one JobEnded, or in none if the worker is silent or goes
-down (lost_attempts() names the jobs it had accepted then). Work is conserved: what a job needed was
-processed or withdrawn, and what was processed for jobs that did not end well counts as wasted. Bounds: a
-new job that cannot start is rejected (`full`) while `queue_length` jobs are queued; memory is never
-overcommitted.
+Does no I/O and reads no clock. Every submitted job ends in exactly one JobEnded, or in none if the worker is
+silent or goes down (lost_attempts() then returns the jobs that it had accepted). Work is conserved: the work
+of a job is either processed or withdrawn, and work processed for a job that does not succeed counts as
+wasted. Bounds: a new job that cannot start is rejected (`full`) while `queue_length` jobs are queued; memory
+is never overcommitted.
 
-All running jobs progress at one rate, so progress is one clock of the work done per job (as the virtual
-time of processor sharing, Kleinrock 1967): a job ends when that clock reaches the value computed at its
-start.
+All running jobs progress at the same rate. One work clock counts the work done on each job that runs since
+the worker's start (the virtual time of processor sharing, Kleinrock 1967). A job ends when the clock reaches
+the value computed at the job's start.
 
     worker.submit_job(now_ms, job)  -> events up to now, and those of the submission
     worker.advance_to(now_ms)       -> events up to now
@@ -24,8 +24,8 @@
 
 QueueDiscipline = Literal["fifo", "backfill", "priority"]
 JobResult = Literal["ok", "error", "full", "cancelled", "expired"]
-WARM_UP_STEP_MS = 50.0  # the capacity of a worker that is warming up grows in such steps
-TIME_TOLERANCE_MS = 1e-6  # rounding errors of summed times are smaller
+WARM_UP_STEP_MS = 50.0  # the capacity of a worker that is warming up grows in steps of this length
+TIME_TOLERANCE_MS = 1e-6  # above the rounding errors of summed times
 
 
 class WorkerSpec(NamedTuple):
@@ -36,35 +36,35 @@
     kind: str = ""
     cell: int = 0
     cores: float = 4.0
-    speed: float = 1.0  # 1 ms of work takes 1 / speed ms
+    speed: float = 1.0  # work of 1 ms takes 1 / speed ms
     slots: int = 4
-    queue_length: int = 40  # maximum of queued jobs
+    queue_length: int = 40  # maximum number of queued jobs
     memory: float = math.inf
     queue_discipline: QueueDiscipline = "priority"
-    preempts: bool = False  # repeatable jobs yield to a higher priority, and resume later
-    initial_capacity: float = 1.0  # part of the capacity at a start
-    slow_start_ms: float = 0.0
-    overload_multiple: float = math.inf
+    preempts: bool = False  # suspends repeatable jobs for jobs of a higher priority, and resumes them later
+    initial_capacity: float = 1.0  # fraction of the capacity that is available at the start
+    slow_start_ms: float = 0.0  # time until the full capacity is available
+    overload_multiple: float = math.inf  # a load ratio above this for overload_window_ms stops the worker
     overload_window_ms: float = 0.0
 
 
 class WorkerJob(NamedTuple):
-    """One attempt as a worker sees it."""
+    """One attempt as submitted to a worker."""
 
     attempt_key: str
     work_ms: float  # ms at speed 1
     slots: int = 1
     memory: float = 0.0
-    priority: int = 0  # the highest runs first
+    priority: int = 0  # higher values run first
     is_repeatable: bool = True
-    deadline_ms: float = math.inf  # a job still queued then expires
-    idempotency_key: str = ""  # a repeat within the window is not run again
+    deadline_ms: float = math.inf  # a job that has not begun by then expires
+    idempotency_key: str = ""  # repeats within the deduplication window are not run again
     deduplication_window_ms: float = 0.0
     will_fail: bool = False
 
 
 class JobBegan(NamedTuple):
-    """A job has started to run."""
+    """A job has begun to run."""
 
     attempt_key: str
 
@@ -84,72 +84,73 @@
     """A job that is queued or running at the worker."""
 
     job: WorkerJob
-    arrival_number: int  # order of arrival
-    remaining_work: float  # while it does not run
-    ends_at_work: float = 0.0  # value of the work clock, while it runs
+    arrival_number: int  # in order of arrival
+    remaining_work: float  # in ms at speed 1; valid while the job is queued
+    ends_at_work: float = 0.0  # value of the work clock at the end; valid while the job runs
     has_begun: bool = False
-    is_removed: bool = False
+    is_removed: bool = False  # its entry in running_jobs is obsolete
 
 
 @dataclass
 class WorkerWorkTotals:
-    """Where work went, in ms at speed 1."""
+    """The work of ended jobs by its fate, in ms at speed 1."""
 
     done: float = 0.0
-    wasted: float = 0.0  # on jobs that did not end well
-    withdrawn: float = 0.0  # not processed, as the job was cancelled, expired or lost before
+    wasted: float = 0.0  # on jobs that did not succeed
+    withdrawn: float = 0.0  # never processed, as the job was cancelled, expired or lost before
 
 
 @dataclass
 class SimulatedWorker:
-    """One worker, from its start on."""
+    """One worker in one incarnation, from its start on. Work is in ms at speed 1."""
 
     spec: WorkerSpec
     started_at_ms: float = 0.0
     now_ms: float = 0.0
-    work_clock: float = 0.0  # work done on a job that ran since the start
-    speed_factor: float = 1.0  # part of the speed left by a neighbour or stolen CPU
-    is_silent: bool = False  # accepts jobs and sends no events
-    fails_fast: bool = False
+    work_clock: float = 0.0  # work done on a job that has run since the start of the worker
+    speed_factor: float = 1.0  # fraction of the speed that other users of the host leave
+    is_silent: bool = False  # runs jobs without reporting that they began or ended
+    fails_fast: bool = False  # fails every new job at once
     is_draining: bool = False
     is_down: bool = False
     work_totals: WorkerWorkTotals = field(default_factory=WorkerWorkTotals)
     accepted_jobs: dict[str, AcceptedJob] = field(default_factory=dict)
-    running_jobs: list[tuple[float, int, AcceptedJob]] = field(
-        default_factory=list
-    )  # heap by end on the work clock
-    queued_jobs: list[AcceptedJob] = field(default_factory=list)  # in the order in which they are considered
-    deduplicated_until: dict[str, float] = field(default_factory=dict)  # by idempotency key, in ms
+    #: Heap of (ends_at_work, arrival_number, job).
+    running_jobs: list[tuple[float, int, AcceptedJob]] = field(default_factory=list)
+    queued_jobs: list[AcceptedJob] = field(default_factory=list)  # in the order in which they are tried
+    deduplicated_until: dict[str, float] = field(default_factory=dict)  # ms, by idempotency key
     overloaded_since_ms: float | None = None
     arrival_count: int = 0
     slots_in_use: int = 0
-    processed_work: float = 0.0  # all work done here, computed from the rate alone
+    processed_work: float = 0.0  # all work done by the worker, computed from its rate alone
     memory_in_use: float = 0.0
 
     def capacity_fraction(self) -> float:
-        """Returns the available part of the capacity.
+        """Returns the available fraction of the capacity.
 
-        It grows linearly over `slow_start_ms`, in steps of WARM_UP_STEP_MS.
+        It grows linearly from `initial_capacity` to 1 over `slow_start_ms`, in steps of WARM_UP_STEP_MS.
         """
         spec = self.spec
         if spec.slow_start_ms <= 0:
             return 1.0
-        age = max(0.0, self.now_ms - self.started_at_ms)
-        steps = math.floor(age / WARM_UP_STEP_MS + 1e-9) * WARM_UP_STEP_MS
-        return min(1.0, spec.initial_capacity + (1.0 - spec.initial_capacity) * steps / spec.slow_start_ms)
+        age_ms = max(0.0, self.now_ms - self.started_at_ms)
+        stepped_age_ms = math.floor(age_ms / WARM_UP_STEP_MS + 1e-9) * WARM_UP_STEP_MS
+        return min(
+            1.0, spec.initial_capacity + (1.0 - spec.initial_capacity) * stepped_age_ms / spec.slow_start_ms
+        )
 
     def work_rate(self) -> float:
-        """Returns the work done on each running job in one ms."""
-        share = min(1.0, self.spec.cores / self.slots_in_use) if self.slots_in_use else 1.0
-        return self.spec.speed * self.capacity_fraction() * self.speed_factor * share
+        """Returns the work done on each running job in one ms; the cores are shared evenly by slot."""
+        core_share = min(1.0, self.spec.cores / self.slots_in_use) if self.slots_in_use else 1.0
+        return self.spec.speed * self.capacity_fraction() * self.speed_factor * core_share
 
     def load_ratio(self) -> float:
-        """Returns the slots of all accepted jobs divided by the slots of the current capacity."""
-        asked = sum(each.job.slots for each in self.accepted_jobs.values())
-        return asked / (self.spec.slots * self.capacity_fraction())
+        """Returns the slots of all accepted jobs, divided by the slots that are available at present."""
+        requested_slots = sum(each.job.slots for each in self.accepted_jobs.values())
+        return requested_slots / (self.spec.slots * self.capacity_fraction())
 
     def submit_job(self, now_ms: float, job: WorkerJob) -> list[WorkerJobEvent]:
-        """Submits an attempt; returns the events up to now and its own."""
+        """Submits an attempt. Returns the events up to now and those of the submission."""
         events = self.advance_to(now_ms)
         assert job.attempt_key not in self.accepted_jobs
         assert job.slots >= 1
@@ -165,7 +166,7 @@
                 *events,
                 JobBegan(job.attempt_key),
                 JobEnded(job.attempt_key, "ok"),
-            ]  # a repeat within its window has no further effect
+            ]  # a repeat within the deduplication window is not run again
         if len(self.queued_jobs) >= self.spec.queue_length and not self._fits(job):
             return [*events, JobEnded(job.attempt_key, "full")]
         self.arrival_count += 1
@@ -174,7 +175,7 @@
         return events + self._start_queued_jobs()
 
     def cancel_job(self, now_ms: float, attempt_key: str) -> list[WorkerJobEvent]:
-        """Cancels an attempt; the work already done on it is wasted."""
+        """Cancels an attempt; the work done on it so far counts as wasted."""
         events = self.advance_to(now_ms)
         accepted = self.accepted_jobs.get(attempt_key)
         if accepted is None or self.is_down:
@@ -183,7 +184,7 @@
         return [*events, JobEnded(attempt_key, "cancelled"), *self._start_queued_jobs()]
 
     def advance_to(self, now_ms: float) -> list[WorkerJobEvent]:
-        """Advances the time and returns the events since then, in order."""
+        """Advances the worker to this time and returns the events until then, in order."""
         assert now_ms >= self.now_ms, (now_ms, self.now_ms)
         events: list[WorkerJobEvent] = []
         while (
@@ -198,36 +199,38 @@
         return events
 
     def next_event_ms(self) -> float | None:
-        """Returns when the worker's next own event is due, or None for never."""
+        """Returns when the worker's next event is due without further submissions, or None if none is."""
         if self.is_down:
             return None
-        times = []
+        due_times_ms = []
         if self.running_jobs and self.work_rate() > 0:
-            times.append(self.now_ms + max(0.0, self.running_jobs[0][0] - self.work_clock) / self.work_rate())
+            due_times_ms.append(
+                self.now_ms + max(0.0, self.running_jobs[0][0] - self.work_clock) / self.work_rate()
+            )
         if self.spec.slow_start_ms > 0 and self.capacity_fraction() < 1.0 and self.accepted_jobs:
             steps = math.floor((self.now_ms - self.started_at_ms) / WARM_UP_STEP_MS + 1e-9) + 1
-            times.append(self.started_at_ms + steps * WARM_UP_STEP_MS)
+            due_times_ms.append(self.started_at_ms + steps * WARM_UP_STEP_MS)
         if self.overloaded_since_ms is not None:
-            times.append(self.overloaded_since_ms + self.spec.overload_window_ms)
-        times += [
+            due_times_ms.append(self.overloaded_since_ms + self.spec.overload_window_ms)
+        due_times_ms += [
             each.job.deadline_ms
             for each in self.queued_jobs
             if each.job.deadline_ms < math.inf and not each.has_begun
         ]
-        return max(self.now_ms, min(times)) if times else None
+        return max(self.now_ms, min(due_times_ms)) if due_times_ms else None
 
     def lost_attempts(self) -> list[str]:
-        """Returns the attempts that get no further event, as the worker is down."""
+        """Returns the accepted attempts that get no further event if the worker is down."""
         return list(self.accepted_jobs) if self.is_down else []
 
     def crash(self, now_ms: float) -> list[WorkerJobEvent]:
-        """Stops the worker with all its jobs; returns the events before that."""
+        """Stops the worker and loses its jobs; returns the events before that."""
         events = self.advance_to(now_ms)
         self._go_down()
         return events
 
     def remaining_work(self) -> float:
-        """Returns the work still to be done on accepted jobs, in ms at speed 1."""
+        """Returns the work still to be done on accepted jobs."""
         return (
             0.0
             if self.is_down
@@ -235,7 +238,7 @@
         )
 
     def unfinished_processed_work(self) -> float:
-        """Returns the work done on accepted jobs so far, in ms at speed 1."""
+        """Returns the work done so far on accepted jobs."""
         return (
             0.0
             if self.is_down
@@ -243,7 +246,7 @@
         )
 
     def load_report(self) -> dict[str, float]:
-        """Returns the fields of a load report."""
+        """Returns the fields of a load report by name."""
         return {
             "inflight": float(len(self.accepted_jobs) - len(self.queued_jobs)),
             "queue": float(len(self.queued_jobs)),
@@ -252,13 +255,14 @@
         }
 
     def _process_until(self, now_ms: float) -> None:
+        """Processes the running jobs until this time, at the rate of the current time."""
         work_per_job = self.work_rate() * (now_ms - self.now_ms)
         self.work_clock += work_per_job
         self.processed_work += work_per_job * (len(self.accepted_jobs) - len(self.queued_jobs))
         self.now_ms = now_ms
 
     def _finish_due_jobs(self) -> list[WorkerJobEvent]:
-        """Ends the jobs that are finished or expired now; returns the events."""
+        """Ends the jobs that are finished or expired by now; returns the events."""
         events: list[WorkerJobEvent] = []
         while self.running_jobs and (
             self.running_jobs[0][2].is_removed
@@ -282,7 +286,7 @@
         return events
 
     def _check_overload(self) -> None:
-        """Stops the worker if it was overloaded for `overload_window_ms` while warming up."""
+        """Stops a worker that is warming up and has been overloaded for `overload_window_ms`."""
         spec = self.spec
         if self.capacity_fraction() >= 1.0 or self.load_ratio() <= spec.overload_multiple:
             self.overloaded_since_ms = None
@@ -292,6 +296,7 @@
             self._go_down()
 
     def _go_down(self) -> None:
+        """Takes the worker down and accounts for the work of the jobs that are lost."""
         for accepted in self.accepted_jobs.values():
             self.work_totals.wasted += accepted.job.work_ms - self._remaining_work_of(accepted)
             self.work_totals.withdrawn += self._remaining_work_of(accepted)
@@ -305,6 +310,7 @@
         )
 
     def _remove_job(self, accepted: AcceptedJob, result: JobResult) -> None:
+        """Removes a job that ends with `result` and accounts for its work."""
         remaining = self._remaining_work_of(accepted)
         processed = accepted.job.work_ms - remaining
         if accepted in self.queued_jobs:
@@ -326,20 +332,21 @@
             self.work_totals.withdrawn += remaining
 
     def _expire_deduplication(self) -> None:
-        """Removes deduplication windows that are over; checked at multiples of 1024 entries."""
+        """Removes expired deduplication windows whenever their number is a multiple of 1024."""
         if len(self.deduplicated_until) % 1024 == 0:
             self.deduplicated_until = {
-                effect: until for effect, until in self.deduplicated_until.items() if until > self.now_ms
+                key: until_ms for key, until_ms in self.deduplicated_until.items() if until_ms > self.now_ms
             }
 
     def _fits(self, job: WorkerJob) -> bool:
+        """Returns whether the free slots and memory suffice for a job."""
         return (
             self.slots_in_use + job.slots <= self.spec.slots
             and self.memory_in_use + job.memory <= self.spec.memory
         )
 
     def _start_queued_jobs(self) -> list[WorkerJobEvent]:
-        """Starts the queued jobs that the queue discipline permits."""
+        """Starts the queued jobs that fit, in the order of the queue discipline; returns the events."""
         events: list[WorkerJobEvent] = []
         if self.spec.queue_discipline == "priority":
             self.queued_jobs.sort(key=lambda each: (-each.job.priority, each.arrival_number))
@@ -365,10 +372,13 @@
         return events
 
     def _preempt_for(self, job: WorkerJob) -> bool:
-        """Suspends repeatable jobs of lower priority, the latest first, if that makes enough room."""
+        """Suspends repeatable running jobs of lower priority, the latest first, until a job fits.
+
+        Returns whether the job fits then; if it does not, no job is suspended.
+        """
         if not self.spec.preempts:
             return False
-        lower = sorted(
+        candidates = sorted(
             (
                 each
                 for _, _, each in self.running_jobs
@@ -378,7 +388,7 @@
         )
         chosen: list[AcceptedJob] = []
         slots, memory = self.slots_in_use, self.memory_in_use
-        for each in lower:
+        for each in candidates:
             if slots + job.slots <= self.spec.slots and memory + job.memory <= self.spec.memory:
                 break
             chosen.append(each)
