--- a/spanwing/simulation/fleet.py
+++ b/spanwing/simulation/fleet.py
@@ -1,8 +1,8 @@
-"""Simulates a complete fleet: clients, a plain load balancer ahead, schedulers, the network and workers.
+"""Simulates a complete fleet: clients, a load balancer, schedulers, the network, discovery and workers.
 
-The same FleetPlan and seed give the same run, event for event. At the end of run() every request is in one
-stage and all work is accounted for (request_accounting.py). The wall clock only measures the cost of the
-decision path, which does not affect the run.
+The same FleetPlan and seed give the same run, event for event. At the end of run() every request and all
+work are accounted for (request_accounting.py). The wall clock is read only to measure the time spent in the
+decision modules; it does not affect the run.
 """
 
 from __future__ import annotations
@@ -28,82 +28,92 @@
 from spanwing.simulation.scheduler import SimulatedScheduler
 from spanwing.simulation.worker import JobBegan, SimulatedWorker, WorkerJob, WorkerJobEvent, WorkerSpec
 
-CONNECT_TIMEOUT_MS = 250.0  # until a host that does not answer counts as unreachable
-ACCEPT_TIMEOUT_MS = 2500.0  # until an attempt neither accepted nor rejected times out
-RESULT_OF_JOB: dict[str, api.Result] = {
+CONNECT_TIMEOUT_MS = 250.0  # after this time without an answer a host counts as unreachable
+ACCEPT_TIMEOUT_MS = 2500.0  # after this time an attempt that was neither accepted nor rejected times out
+PROBE_TIMEOUT_MS = 500.0
+FIRST_POLL_DELAY_MS = 500.0  # from a scheduler's restart to its first poll of discovery
+RUN_OUT_MS = 10_000.0  # simulated beyond the last deadline, so that all requests end
+RESULT_BY_JOB_RESULT: dict[str, api.Result] = {
     "ok": "ok",
     "error": "error",
     "full": "full",
     "cancelled": "cancelled",
-    "expired": "full",
-}  # an expired job was only queued and never ran
+    "expired": "full",  # an expired job never began to run
+}
 
 
 class FleetPlan(NamedTuple):
-    """Describes everything that a simulated fleet is made of."""
+    """Describes a simulated fleet, its clients and its network."""
 
     workers: tuple[WorkerSpec, ...]
-    schedulers: tuple[tuple[str, str], ...]  # name and zone
+    schedulers: tuple[tuple[str, str], ...]  # names and zones
     classes: tuple[ClassSpec, ...]
     load: LoadSpec
     tenants: tuple[TenantSpec, ...] = (TenantSpec("one", 1.0),)
     retries: RetrySpec = RetrySpec()
     network_delays: NetworkDelays = NetworkDelays()
-    settings_for: Callable[[int, str], api.Settings] | None = None  # by index and zone of a scheduler
-    discovery_lag_ms: tuple[float, float] = (20.0, 120.0)  # until a scheduler learns of a change
-    decision_ms: float = 0.0  # a scheduler's CPU time for each message that it receives
-    scheduler_loss_notice_ms: float = 1000.0  # until the load balancer notices that a scheduler is gone
+    make_settings: Callable[[int, str], api.Settings] | None = None  # from a scheduler's index and zone
+    discovery_lag_ms: tuple[float, float] = (
+        20.0,
+        120.0,
+    )  # bounds of the time until a scheduler learns of a change
+    decision_ms: float = 0.0  # CPU time of a scheduler for each message that it receives
+    scheduler_loss_notice_ms: float = 1000.0  # until the load balancer stops using a stopped scheduler
     load_report_interval_ms: float = 25.0  # maximum age of a load report
 
 
-#: Field names in the digest of a run's answers; fixed, so that digests compare over all revisions.
+#: Field names in the digest of a run's answers. They never change, so that digests of all revisions compare.
 DIGEST_FIELDS = ("at", "cls", "brand", "kind", "took", "tries", "attempts", "running")
 
 
 class AnsweredRequest(NamedTuple):
-    """How one request ended."""
+    """The outcome of one request."""
 
     arrived_at_ms: float
     class_name: str
     tenant: str
     outcome: str  # served, refused, failed, left, lost
-    elapsed_ms: float  # from the client's first submission to its last answer
+    elapsed_ms: float  # from the request's arrival until it ended
     submission_count: int
     attempt_count: int
-    work_ms: float  # ms at speed 1; the latency objective of some classes grows with it
+    work_ms: float  # at speed 1; the latency objective of some classes grows with it
 
 
 @dataclass
 class ClientRequestState:
-    """A client's request and its current submission."""
+    """A request that has not ended, with the state of its client."""
 
     generated: GeneratedRequest
     submission_count: int = 0
-    attempt_count: int = 0
-    scheduler: SimulatedScheduler | None = None
-    departure: ScheduledCall | None = None
+    attempt_count: int = 0  # of all submissions
+    scheduler: SimulatedScheduler | None = None  # of the last submission
+    departure: ScheduledCall | None = None  # when the client's patience is over
 
 
 @dataclass
 class WorkerHost:
-    """A worker with its next scheduled event and its open attempts."""
+    """A worker and what the fleet knows about it; kept over restarts of the worker."""
 
     worker: SimulatedWorker
     worker_id: int
-    wake_up: ScheduledCall | None = None
-    phase: api.State = "healthy"
+    wake_up: ScheduledCall | None = None  # for the worker's next event
+    phase: api.State = "healthy"  # as discovery publishes it
+    #: Open attempts by attempt key: scheduler, request id and attempt number.
     attempts_by_key: dict[str, tuple[SimulatedScheduler, str, int]] = field(default_factory=dict)
     last_load_report: dict[str, float] = field(default_factory=dict)
     load_reported_at_ms: float = -1e12
 
 
 def worker_id_of(name: str) -> int:
-    """Returns a worker's id: a 48-bit digest of its name."""
+    """Returns the id of a worker: a 48-bit digest of its name."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=6).digest(), "big")
 
 
 class FleetSimulation:
-    """One simulated fleet, from its start to the end of its day."""
+    """One simulated fleet, from its start to the end of its day.
+
+    `on_answered` is called once for each request, when it ends.
+    """
 
     def __init__(
         self, plan: FleetPlan, seed: int, on_answered: Callable[[AnsweredRequest], None] | None = None
@@ -111,40 +121,40 @@
         self.plan, self.streams, self.event_queue = plan, RandomStreams(seed), EventQueue()
         self.network, self.accounting = NetworkModel(plan.network_delays, self.streams), RequestAccounting()
         self.clients = ClientModel(plan.load, plan.classes, plan.tenants, self.streams)
-        self.on_answered: Callable[[AnsweredRequest], None] = on_answered or (lambda answered: None)
+        self.on_answered: Callable[[AnsweredRequest], None] = on_answered or (lambda _: None)
         self.worker_hosts: dict[int, WorkerHost] = {}
         for spec in plan.workers:
-            number = worker_id_of(spec.name)
-            self.worker_hosts[number] = WorkerHost(SimulatedWorker(spec, started_at_ms=-1e9), number)
-        self.hosts_by_name = {place.worker.spec.name: place for place in self.worker_hosts.values()}
-        assert len(self.worker_hosts) == len(plan.workers), "two workers of one name"
-        settings_for = plan.settings_for or self._default_settings
+            worker_id = worker_id_of(spec.name)
+            self.worker_hosts[worker_id] = WorkerHost(SimulatedWorker(spec, started_at_ms=-1e9), worker_id)
+        self.hosts_by_name = {host.worker.spec.name: host for host in self.worker_hosts.values()}
+        assert len(self.worker_hosts) == len(plan.workers), "two workers have the same name"
+        make_settings = plan.make_settings or self._default_settings
         self.schedulers = [
             SimulatedScheduler(
-                name, zone, settings_for(place, zone), seed * 1000 + place, self.event_queue, self
+                name, zone, make_settings(index, zone), seed * 1000 + index, self.event_queue, self
             )
-            for place, (name, zone) in enumerate(plan.schedulers)
+            for index, (name, zone) in enumerate(plan.schedulers)
         ]
-        self.schedulers_believed_up = list(self.schedulers)  # by the load balancer
+        self.schedulers_believed_up = list(self.schedulers)  # those that the load balancer uses
         self.client_requests: dict[str, ClientRequestState] = {}
-        self.request_of_submission: dict[str, str] = {}  # by submission id
+        self.request_of_submission: dict[str, str] = {}  # request id by submission id
         self.scheduler_choice_stream = self.streams.stream("front")
         self.work_noise_stream = self.streams.stream("workers", "noise")
         self.discovery_lag_stream = self.streams.stream("discovery")
         self.heavy_tail_stream = self.streams.stream("workers", "tail")
-        self.heavy_tail = (0.0, 1.0)  # share of attempts, and the multiple of their work
+        self.heavy_tail = (0.0, 1.0)  # share of attempts, and the factor by which their work is multiplied
         self.is_discovery_up, self.unannounced_workers = True, set[int]()
-        self.attempt_count = 0
+        self.attempt_count = 0  # accepted by workers
         self.digest = hashlib.blake2b(digest_size=16)  # of all answers
-        for node in self.schedulers:
-            node.receive_event(
+        for scheduler in self.schedulers:
+            scheduler.receive_event(
                 api.WorkerList(
                     "complete", tuple(self.endpoint_of(each) for each in self.worker_hosts.values())
                 )
             )
 
     def _default_settings(self, scheduler_index: int, zone: str) -> api.Settings:
-        """Returns the settings of a plain deployment with the plan's classes."""
+        """Returns the settings of a scheduler for the plan's classes, tenants and workers."""
         classes = tuple(
             api.ServiceClass(
                 each.name,
@@ -191,21 +201,21 @@
         )
 
     def run(self, day_end_ms: float) -> None:
-        """Runs the day until this time (ms), then until everything in flight has ended.
+        """Runs the day until `day_end_ms`, then until all requests have ended.
 
-        Raises AssertionError where requests or work were lost or created.
+        Raises AssertionError if requests or work were lost or created.
         """
         self._schedule_arrival(self.clients.next_request(), day_end_ms)
         self.event_queue.run_until(day_end_ms)
         self.event_queue.run_until(
-            day_end_ms + max(each.deadline_ms for each in self.plan.classes) + 10_000.0
+            day_end_ms + max(each.deadline_ms for each in self.plan.classes) + RUN_OUT_MS
         )
         self.check_conservation()
 
     def check_conservation(self) -> None:
-        """Raises AssertionError where requests or work were lost or created."""
+        """Raises AssertionError if requests or work were lost or created."""
         self.accounting.check_requests()
-        workers = [place.worker for place in self.worker_hosts.values()]
+        workers = [host.worker for host in self.worker_hosts.values()]
         self.accounting.check_work(
             WorkTotals(
                 *(sum(getattr(each.work_totals, name) for each in workers) for name in ("done", "wasted")),
@@ -218,11 +228,12 @@
         )
 
     def _schedule_arrival(self, generated: GeneratedRequest, day_end_ms: float) -> None:
-        """Schedules a request at its arrival time, unless that is after the end of the day."""
+        """Schedules a request at its arrival time, unless it arrives after the end of the day."""
         if generated.arrives_at_ms <= day_end_ms:
             self.event_queue.schedule_at(generated.arrives_at_ms, self._start_request, generated, day_end_ms)
 
     def _start_request(self, generated: GeneratedRequest, day_end_ms: float) -> None:
+        """Submits a request that arrives now, and schedules the next arrival."""
         self._schedule_arrival(self.clients.next_request(), day_end_ms)
         self.accounting.add_request(generated.id)
         client_request = self.client_requests[generated.id] = ClientRequestState(generated)
@@ -232,6 +243,7 @@
         self._submit(generated.id)
 
     def _submit(self, request_id: str) -> None:
+        """Submits a request to a scheduler that the load balancer chooses at random."""
         client_request = self.client_requests.get(request_id)
         if client_request is None:
             return
@@ -240,21 +252,21 @@
         if not self.schedulers_believed_up:
             self._finish_request(request_id, "lost")
             return
-        # Clients use the schedulers of their zone while the load balancer believes one of them to be up.
+        # Requests go to the schedulers of the client's zone while the load balancer believes that one is up.
         candidates = [
             each for each in self.schedulers_believed_up if each.zone == client_request.generated.zone
         ] or self.schedulers_believed_up
         scheduler = client_request.scheduler = candidates[
             int(self.scheduler_choice_stream.integers(len(candidates)))
         ]
-        delay = self.network.message_delay_ms("", scheduler.zone)
-        if delay is None:
+        delay_ms = self.network.message_delay_ms("", scheduler.zone)
+        if delay_ms is None:
             self.event_queue.schedule_after(
                 CONNECT_TIMEOUT_MS, self._handle_rejection, request_id, client_request.submission_count, 0.0
             )
         else:
             scheduler.schedule_work(
-                delay,
+                delay_ms,
                 self.plan.decision_ms,
                 self._arrive_at_scheduler,
                 request_id,
@@ -265,10 +277,11 @@
     def _arrive_at_scheduler(
         self, request_id: str, submission_number: int, scheduler: SimulatedScheduler
     ) -> None:
+        """Delivers a submission to its scheduler, unless the client has left or has retried meanwhile."""
         client_request = self.client_requests.get(request_id)
         if client_request is None or client_request.submission_count != submission_number:
             return
-        if not scheduler.is_up:  # connection refused: the client learns it at once and may retry
+        if not scheduler.is_up:  # the connection is refused, and the client may retry at once
             self._handle_rejection(request_id, submission_number, 0.0)
             return
         generated = client_request.generated
@@ -290,17 +303,17 @@
     def send_answer(
         self, scheduler: SimulatedScheduler, request_id: str, outcome: str, retry_after_ms: float
     ) -> None:
-        """Sends a scheduler's answer to the client."""
+        """Sends the answer of a scheduler to the client; see SchedulerEnvironment."""
         client_request_id = self.request_of_submission.pop(request_id)
         client_request = self.client_requests.get(client_request_id)
         if client_request is None:
             return
         self.accounting.set_stage(client_request_id, "answer on its way")
-        delay = self.network.message_delay_ms(scheduler.zone, "")
-        if delay is None:
-            return  # lost; ends when the client's patience is over
+        delay_ms = self.network.message_delay_ms(scheduler.zone, "")
+        if delay_ms is None:
+            return  # the answer is lost; the request ends when the client leaves
         self.event_queue.schedule_after(
-            delay,
+            delay_ms,
             self._receive_answer,
             client_request_id,
             client_request.submission_count,
@@ -317,6 +330,7 @@
             self._finish_request(request_id, outcome)
 
     def _handle_rejection(self, request_id: str, submission_number: int, retry_after_ms: float) -> None:
+        """Retries a rejected request after a delay, or ends it if it has no retry or no time left."""
         client_request = self.client_requests.get(request_id)
         if client_request is None or client_request.submission_count != submission_number:
             return
@@ -336,7 +350,7 @@
         self.event_queue.schedule_after(delay_ms, self._submit, request_id)
 
     def _client_leaves(self, request_id: str) -> None:
-        """Ends a request whose client's patience is over, whatever happens afterwards."""
+        """Ends a request whose client leaves; later answers are ignored."""
         client_request = self.client_requests.get(request_id)
         if client_request is None:
             return
@@ -347,6 +361,7 @@
         self._finish_request(request_id, "left")
 
     def _finish_request(self, request_id: str, outcome: str) -> None:
+        """Ends a request, adds it to the digest and reports it to `on_answered`."""
         client_request = self.client_requests.pop(request_id)
         client_request.departure.cancel()
         self.accounting.set_stage(request_id, "over")
@@ -368,20 +383,22 @@
     def send_attempt(
         self, scheduler: SimulatedScheduler, request_id: str, attempt_number: int, worker_id: int
     ) -> None:
-        """Sends an attempt to its worker."""
+        """Sends an attempt to its worker; see SchedulerEnvironment."""
         client_request = self.client_requests.get(self.request_of_submission.get(request_id, ""))
         if client_request is not None:
             client_request.attempt_count += 1
         host = self.worker_hosts.get(worker_id)
-        delay = None if host is None else self.network.message_delay_ms(scheduler.zone, host.worker.spec.zone)
-        if host is None or delay is None or host.phase == "gone":
+        delay_ms = (
+            None if host is None else self.network.message_delay_ms(scheduler.zone, host.worker.spec.zone)
+        )
+        if host is None or delay_ms is None or host.phase == "gone":
             self.event_queue.schedule_after(
                 CONNECT_TIMEOUT_MS, scheduler.attempt_ended, request_id, attempt_number, "unreachable"
             )
             return
         generated = client_request.generated if client_request is not None else None
         self.event_queue.schedule_after(
-            delay, self._arrive_at_worker, scheduler, request_id, attempt_number, host, generated
+            delay_ms, self._arrive_at_worker, scheduler, request_id, attempt_number, host, generated
         )
 
     def _arrive_at_worker(
@@ -392,10 +409,11 @@
         host: WorkerHost,
         generated: GeneratedRequest | None,
     ) -> None:
+        """Submits an attempt to its worker; `generated` is None if the request has ended."""
         attempt_key, worker = f"{scheduler.name} {request_id}#{attempt_number}", host.worker
         if (
             generated is None or (request_id, attempt_number) not in scheduler.open_attempts
-        ):  # cancelled in transit
+        ):  # the attempt was cancelled in transit
             self._return_outcome(scheduler, host, request_id, attempt_number, "cancelled")
             return
         if worker.is_down:
@@ -424,10 +442,10 @@
             self.accounting.requested_work += work
             self.attempt_count += 1
         if not worker.is_silent and attempt_key in worker.accepted_jobs:
-            delay = self.network.message_delay_ms(worker.spec.zone, scheduler.zone)
-            if delay is not None:
+            delay_ms = self.network.message_delay_ms(worker.spec.zone, scheduler.zone)
+            if delay_ms is not None:
                 scheduler.schedule_work(
-                    delay, self.plan.decision_ms, scheduler.attempt_accepted, request_id, attempt_number
+                    delay_ms, self.plan.decision_ms, scheduler.attempt_accepted, request_id, attempt_number
                 )
         if worker.is_silent:
             self.event_queue.schedule_after(
@@ -461,10 +479,12 @@
         worker_id: int,
         result: api.Result,
     ) -> None:
-        """Cancels an attempt of a scheduler; it ends once the worker has been notified."""
+        """Cancels an attempt. It ends after a round trip to the worker, or now if that does not answer."""
         host = self.worker_hosts.get(worker_id)
-        delay = None if host is None else self.network.message_delay_ms(scheduler.zone, host.worker.spec.zone)
-        if delay is None or host.worker.is_down or host.worker.is_silent:
+        delay_ms = (
+            None if host is None else self.network.message_delay_ms(scheduler.zone, host.worker.spec.zone)
+        )
+        if delay_ms is None or host.worker.is_down or host.worker.is_silent:
             self.event_queue.schedule_at(
                 self.event_queue.now_ms, scheduler.attempt_ended, request_id, attempt_number, result
             )
@@ -472,36 +492,46 @@
                 self._cancel_at_worker(f"{scheduler.name} {request_id}#{attempt_number}", host)
             return
         self.event_queue.schedule_after(
-            delay, self._cancel_at_worker, f"{scheduler.name} {request_id}#{attempt_number}", host
+            delay_ms, self._cancel_at_worker, f"{scheduler.name} {request_id}#{attempt_number}", host
         )
         self.event_queue.schedule_after(
-            2 * delay, scheduler.attempt_ended, request_id, attempt_number, result
+            2 * delay_ms, scheduler.attempt_ended, request_id, attempt_number, result
         )
 
     def _cancel_at_worker(self, attempt_key: str, host: WorkerHost) -> None:
+        """Cancels a job at its worker; no further outcome of it is returned."""
         host.attempts_by_key.pop(attempt_key, None)
         if not host.worker.is_down:
             self._handle_worker_events(host, host.worker.cancel_job(self.event_queue.now_ms, attempt_key))
 
     def _advance_worker(self, host: WorkerHost) -> None:
+        """Handles the event for which the worker's wake-up was scheduled."""
         host.wake_up = None
         self._handle_worker_events(host, host.worker.advance_to(self.event_queue.now_ms))
 
     def _handle_worker_events(self, host: WorkerHost, events: list[WorkerJobEvent]) -> None:
-        """Delivers a worker's events to the schedulers, and schedules the worker's next event."""
+        """Sends a worker's events to the schedulers, and schedules the worker's next event."""
         worker = host.worker
         for each in events:
             attempt = host.attempts_by_key.get(each.attempt_key)
             if attempt is None:
                 continue
-            node, request, number = attempt
+            scheduler, request_id, attempt_number = attempt
             if isinstance(each, JobBegan):
-                delay = self.network.message_delay_ms(worker.spec.zone, node.zone)
-                if delay is not None:
-                    node.schedule_work(delay, self.plan.decision_ms, node.attempt_progressed, request, number)
+                delay_ms = self.network.message_delay_ms(worker.spec.zone, scheduler.zone)
+                if delay_ms is not None:
+                    scheduler.schedule_work(
+                        delay_ms,
+                        self.plan.decision_ms,
+                        scheduler.attempt_progressed,
+                        request_id,
+                        attempt_number,
+                    )
             else:
                 del host.attempts_by_key[each.attempt_key]
-                self._return_outcome(node, host, request, number, RESULT_OF_JOB[each.result])
+                self._return_outcome(
+                    scheduler, host, request_id, attempt_number, RESULT_BY_JOB_RESULT[each.result]
+                )
         if worker.is_down and host.phase != "gone":
             self.worker_went_down(host)
         if host.wake_up is not None:
@@ -519,10 +549,11 @@
         attempt_number: int,
         result: api.Result,
     ) -> None:
-        delay = self.network.message_delay_ms(host.worker.spec.zone, scheduler.zone)
-        if delay is not None:
+        """Sends the result of an attempt from its worker to the scheduler, unless the message is lost."""
+        delay_ms = self.network.message_delay_ms(host.worker.spec.zone, scheduler.zone)
+        if delay_ms is not None:
             scheduler.schedule_work(
-                delay, self.plan.decision_ms, scheduler.attempt_ended, request_id, attempt_number, result
+                delay_ms, self.plan.decision_ms, scheduler.attempt_ended, request_id, attempt_number, result
             )
 
     def _load_report(self, scheduler: SimulatedScheduler, host: WorkerHost) -> tuple[float, ...]:
@@ -535,53 +566,57 @@
         return tuple(host.last_load_report.get(name, 0.0) for name in scheduler.settings.report_fields)
 
     def probe_worker(self, scheduler: SimulatedScheduler, worker_id: int) -> None:
-        """Probes a worker; the result arrives after a round trip, or as `unreachable` after 500 ms."""
+        """Probes a worker; the result arrives after a round trip, or `unreachable` after PROBE_TIMEOUT_MS."""
         host = self.worker_hosts.get(worker_id)
-        delay = None if host is None else self.network.message_delay_ms(scheduler.zone, host.worker.spec.zone)
-        if delay is None or host.worker.is_down or host.worker.is_silent:
+        delay_ms = (
+            None if host is None else self.network.message_delay_ms(scheduler.zone, host.worker.spec.zone)
+        )
+        if delay_ms is None or host.worker.is_down or host.worker.is_silent:
             self.event_queue.schedule_after(
-                500.0, scheduler.receive_event, api.ProbeResult(worker_id, "unreachable", 500.0)
+                PROBE_TIMEOUT_MS,
+                scheduler.receive_event,
+                api.ProbeResult(worker_id, "unreachable", PROBE_TIMEOUT_MS),
             )
         else:
             self.event_queue.schedule_after(
-                2 * delay,
+                2 * delay_ms,
                 scheduler.receive_event,
-                api.ProbeResult(worker_id, "ok", 2 * delay, self._load_report(scheduler, host)),
+                api.ProbeResult(worker_id, "ok", 2 * delay_ms, self._load_report(scheduler, host)),
             )
 
     def watch_endpoints(self, scheduler: SimulatedScheduler) -> None:
-        """Does nothing: every scheduler receives changes as they happen."""
+        """Does nothing: set_phase() sends changes to every scheduler."""
 
     def worker_went_down(self, host: WorkerHost) -> None:
-        """Marks a worker as gone; its open attempts end with their connections reset."""
-        for node, request, number in host.attempts_by_key.values():
-            self._return_outcome(node, host, request, number, "reset")
+        """Marks a worker as gone; its open attempts end with `reset`."""
+        for scheduler, request_id, attempt_number in host.attempts_by_key.values():
+            self._return_outcome(scheduler, host, request_id, attempt_number, "reset")
         host.attempts_by_key.clear()
         self.set_phase(host, "gone")
 
     def set_phase(self, host: WorkerHost, phase: api.State) -> None:
-        """Publishes a worker's new phase; each scheduler learns of it after a discovery lag of its own."""
+        """Publishes a worker's new phase, which reaches each scheduler after a discovery lag of its own."""
         host.phase = phase
         if not self.is_discovery_up:
             self.unannounced_workers.add(host.worker_id)
             return
-        for node in self.schedulers:
-            node.schedule_work(
+        for scheduler in self.schedulers:
+            scheduler.schedule_work(
                 float(self.discovery_lag_stream.uniform(*self.plan.discovery_lag_ms)),
                 self.plan.decision_ms,
-                node.receive_event,
+                scheduler.receive_event,
                 api.WorkerList("partial", (self.endpoint_of(host),)),
             )
 
     def restore_discovery(self) -> None:
-        """Restores discovery, and publishes what has changed meanwhile."""
+        """Restores discovery, and publishes the changes since it went down."""
         self.is_discovery_up = True
-        for number in sorted(self.unannounced_workers):
-            self.set_phase(self.worker_hosts[number], self.worker_hosts[number].phase)
+        for worker_id in sorted(self.unannounced_workers):
+            self.set_phase(self.worker_hosts[worker_id], self.worker_hosts[worker_id].phase)
         self.unannounced_workers.clear()
 
     def advance_worker(self, host: WorkerHost) -> None:
-        """Advances a worker to the current time."""
+        """Advances a worker that is up to the current time."""
         if not host.worker.is_down:
             self._handle_worker_events(host, host.worker.advance_to(self.event_queue.now_ms))
 
@@ -590,7 +625,7 @@
         self._handle_worker_events(host, host.worker.crash(self.event_queue.now_ms))
 
     def drain_worker(self, host: WorkerHost) -> None:
-        """Has a worker take nothing new, and discovery publish that it is draining."""
+        """Makes a worker that is up reject new jobs, and publishes that it is draining."""
         if not host.worker.is_down:
             host.worker.is_draining = True
             self.set_phase(host, "draining")
@@ -601,12 +636,12 @@
             self.crash_worker(host)
 
     def start_if_down(self, host: WorkerHost) -> None:
-        """Starts a worker, if it is down."""
+        """Restarts a worker, if it is down."""
         if host.worker.is_down:
             self.start_worker(host)
 
     def start_replacement(self, host: WorkerHost) -> None:
-        """Starts another worker of the same spec, which is warming up."""
+        """Starts another worker of the same spec and the name with a `+`; it is warming up."""
         spec = host.worker.spec._replace(name=f"{host.worker.spec.name}+")
         worker_id = worker_id_of(spec.name)
         replacement = self.worker_hosts[worker_id] = WorkerHost(
@@ -616,7 +651,7 @@
         self.set_phase(replacement, "healthy")
 
     def start_worker(self, host: WorkerHost) -> None:
-        """Restarts a worker that was gone; it is warming up."""
+        """Restarts a worker that is down; it is warming up."""
         host.worker = SimulatedWorker(
             host.worker.spec,
             self.event_queue.now_ms,
@@ -627,7 +662,7 @@
         self.set_phase(host, "healthy")
 
     def endpoint_of(self, host: WorkerHost) -> api.Worker:
-        """Returns a worker's entry of the endpoint list."""
+        """Returns the entry of a worker in the endpoint list."""
         spec = host.worker.spec
         return api.Worker(
             host.worker_id,
@@ -650,9 +685,9 @@
         )
 
     def start_scheduler(self, name: str) -> None:
-        """Restarts a stopped scheduler without state but the endpoint list that it had last."""
+        """Restarts a stopped scheduler, which keeps nothing but its persisted endpoint list."""
         index, previous = next(
-            (place, each) for place, each in enumerate(self.schedulers) if each.name == name
+            (index, each) for index, each in enumerate(self.schedulers) if each.name == name
         )
         if previous.is_up:
             return
@@ -669,17 +704,18 @@
         self.schedulers_believed_up.append(restarted)
         restarted.receive_event(
             api.WorkerList(
-                "persisted", tuple(view.entry for view in previous.decision_module.worker_states.values())
+                "persisted", tuple(state.entry for state in previous.decision_module.worker_states.values())
             )
         )
-        # What it has missed arrives with its first poll of discovery.
+        # The changes since it stopped arrive with its first poll of discovery.
         self.event_queue.schedule_after(
-            float(self.discovery_lag_stream.uniform(*self.plan.discovery_lag_ms)) + 500.0,
+            float(self.discovery_lag_stream.uniform(*self.plan.discovery_lag_ms)) + FIRST_POLL_DELAY_MS,
             self._send_endpoint_list,
             restarted,
         )
 
     def _send_endpoint_list(self, scheduler: SimulatedScheduler) -> None:
+        """Sends the complete endpoint list to a scheduler."""
         scheduler.receive_event(
             api.WorkerList(
                 "complete",
@@ -688,5 +724,6 @@
         )
 
     def _notice_scheduler_loss(self, scheduler: SimulatedScheduler) -> None:
+        """Removes a stopped scheduler from those that the load balancer uses."""
         if scheduler in self.schedulers_believed_up and not scheduler.is_up:
             self.schedulers_believed_up.remove(scheduler)
