--- a/spanwing/simulation/zone_fleet.py
+++ b/spanwing/simulation/zone_fleet.py
@@ -1,8 +1,9 @@
-"""Simulates a fleet whose schedulers leave and return to zones together.
+"""Simulates fleets whose schedulers leave failed zones and return to them.
 
-The program's own leader, zone controller, lease, routing filter and evidence collector decide. The model
-adds the way of the messages, which take the network's time and are lost where it is partitioned. The
-document changes at one moment instead of by quorum, and a leader that ends is replaced by another member
+In a LeaderFleet one leader decides for all schedulers; in a StandaloneFleet each scheduler decides by itself.
+The decisions come from the production code: leader, zone controller, lease, routing filter and evidence
+collector. The model adds the network, which delays messages and loses them in a partition. It simplifies the
+store: the document changes at once instead of by a quorum, and another member replaces a stopped leader
 TAKEOVER_DELAY_MS later. The same plan and seed give the same run.
 """
 
@@ -25,12 +26,14 @@
 from spanwing.zones.agent import ZoneAgent
 from spanwing.zones.controller import ListedWorker, ZoneController, ZoneLimits
 from spanwing.zones.routing_filter import MAX_TRANSIT_MS, RoutingRules
-from spanwing.zones.standalone import EVALUATION_INTERVAL_MS as SOLO_MS
+from spanwing.zones.standalone import EVALUATION_INTERVAL_MS as STANDALONE_INTERVAL_MS
 from spanwing.zones.standalone import StandaloneController
 from spanwing.zones.state import read_fleet_zones
 from spanwing.zones.unreachable_work import ZoneUnreachable
 
 LEASE_MS, STORE_MEMBER_COUNT = 2000.0, 3
+# How often the leader evaluates the zones, how long a stopped leader is missed, and how often a follower
+# checks its lease and looks for zones that its requests cannot reach.
 LEADER_INTERVAL_MS, TAKEOVER_DELAY_MS, LEASE_CHECK_INTERVAL_MS, UNREACHABLE_CHECK_INTERVAL_MS = (
     25.0,
     1500.0,
@@ -38,6 +41,8 @@
     250.0,
 )
 LIST_REFRESH_INTERVAL_MS = 1000.0
+# The time from a renewal's answer to the next renewal, until an unanswered renewal is repeated, from probes
+# to the renewal that reports their results, and within which attempts in a zone that is left are cancelled.
 MIN_RENEWAL_INTERVAL_MS, ANSWER_TIMEOUT_MS, EVIDENCE_DELAY_MS, MAX_CANCEL_DELAY_MS = (
     100.0,
     1200.0,
@@ -47,12 +52,12 @@
 
 
 class SimulatedFollower:
-    """One scheduler's side of the control plane, in one incarnation."""
+    """The part of one scheduler, in one incarnation, that follows the leader's decisions on zones."""
 
     def __init__(self, simulation: LeaderFleet, scheduler: SimulatedScheduler, incarnation: int) -> None:
         self.simulation, self.scheduler, self.event_queue = simulation, scheduler, simulation.event_queue
         settings = scheduler.settings
-        self.session_id, self.position = f"{scheduler.name}.{incarnation}", settings.node_index
+        self.session_id, self.node_index = f"{scheduler.name}.{incarnation}", settings.node_index
         self.random_source = random.Random(scheduler.seed)
         rules = RoutingRules(
             self.session_id,
@@ -78,10 +83,10 @@
         self.event_queue.schedule_after(LEASE_CHECK_INTERVAL_MS, self._check_lease)
         self.event_queue.schedule_after(self.random_source.uniform(0, 1000.0), self._probe_in_background)
 
-    # -- calls of the scheduler
+    # -- called by the scheduler; see ZoneRoutingModel
 
     def may_forward(self, worker_id: int) -> bool:
-        """Returns whether the routing filter lets an attempt go to this worker now."""
+        """Returns whether the routing filter permits an attempt to this worker now."""
         now = self.event_queue.now_ms
         return self.zone_agent.routing_filter.may_forward(worker_id, now, self.lease.is_valid(now), now)
 
@@ -91,24 +96,25 @@
         return self.zone_agent.filter_workers(endpoint_list, now, now, self.lease.is_valid(now))
 
     def attempt_sent(self, worker_id: int, attempt: tuple[str, int]) -> None:
-        """Notes that an attempt was forwarded."""
+        """Records that an attempt was forwarded."""
         self.zone_agent.attempt_sent(self.event_queue.now_ms, worker_id, attempt)
 
     def attempt_accepted(self, worker_id: int, attempt: tuple[str, int]) -> None:
-        """Notes as evidence that the worker accepted an attempt."""
+        """Records as evidence that the worker accepted an attempt."""
         self.zone_agent.evidence_collector.attempt_accepted(self.event_queue.now_ms, worker_id, attempt)
 
     def attempt_ended(self, worker_id: int, attempt: tuple[str, int], result: str) -> None:
-        """Notes how an attempt ended, and sends the probes that this calls for."""
+        """Records the result of an attempt, and sends the probes that it calls for."""
         self._probe_workers(
             self.zone_agent.attempt_ended(self.event_queue.now_ms, worker_id, attempt, result)
         )
 
     def probe_finished(self, worker_id: int, result: str) -> None:
-        """Notes how a probe ended, and sends the probes that this calls for."""
+        """Records the result of a probe, and sends the probes that it calls for."""
         self._probe_workers(self.zone_agent.probe_finished(self.event_queue.now_ms, worker_id, result))
 
     def _probe_workers(self, worker_ids: list[int]) -> None:
+        """Probes workers, and schedules a renewal that reports the results."""
         for each in worker_ids:
             self.scheduler.send_probe(each)
         if worker_ids:
@@ -117,6 +123,7 @@
     # -- messages
 
     def _send_renewal(self) -> None:
+        """Sends a renewal of the lease with the current evidence to the leader."""
         if not self.scheduler.is_up:
             return
         self.last_renewal_number += 1
@@ -133,7 +140,7 @@
             renewal_number,
             self.session_id,
             self.scheduler.zone,
-            self.position,
+            self.node_index,
             self.document.revision,
             msgspec.Raw(evidence),
         )
@@ -141,33 +148,35 @@
         self.event_queue.schedule_after(ANSWER_TIMEOUT_MS, self._renew_if_unanswered, renewal_number)
 
     def _renew_if_unanswered(self, renewal_number: int) -> None:
+        """Sends a new renewal if this one is the last and has had no answer."""
         if self.last_answered_renewal < renewal_number == self.last_renewal_number:
             self._send_renewal()
 
-    def handle_grant(self, grant: RenewalReply) -> None:
-        """Takes over the leader's answer to a renewal: the lease, the document and zones to probe."""
+    def handle_reply(self, reply: RenewalReply) -> None:
+        """Extends the lease by a reply to a renewal, updates the document, and probes the requested zones."""
         if not self.scheduler.is_up:
             return
         previous = self.document
-        self.document = catch_up(previous, grant.changes, grant.document)
-        self.lease.extend(grant.message_id, grant.lease_ms)
+        self.document = catch_up(previous, reply.changes, reply.document)
+        self.lease.extend(reply.message_id, reply.lease_ms)
         if self.document is not previous:
             self._handle_document_change()
-        if grant.zones_to_probe:
-            self._probe_workers(self.zone_agent.choose_workers_to_probe(grant.zones_to_probe))
+        if reply.zones_to_probe:
+            self._probe_workers(self.zone_agent.choose_workers_to_probe(reply.zones_to_probe))
             now = self.event_queue.now_ms
             trial.start_trials(
                 self.scheduler.decision_module,
-                self.zone_agent.choose_trial_workers(now, grant.zones_to_probe),
+                self.zone_agent.choose_trial_workers(now, reply.zones_to_probe),
                 now,
             )
-        if grant.message_id == self.last_renewal_number and grant.message_id > self.last_answered_renewal:
-            self.last_answered_renewal = grant.message_id
+        if reply.message_id == self.last_renewal_number and reply.message_id > self.last_answered_renewal:
+            self.last_answered_renewal = reply.message_id
             self.event_queue.schedule_after(MIN_RENEWAL_INTERVAL_MS, self._send_renewal)
 
     # -- changes of the document and the lease
 
     def _handle_document_change(self) -> None:
+        """Applies the zones of a changed document, and cancels attempts in zones that are being left."""
         previous_zones, fleet_zones, now = (
             self.zone_agent.fleet,
             read_fleet_zones(self.document),
@@ -179,7 +188,7 @@
             if zone.state == "leaving" and (
                 previous_zones is None or previous_zones.get_zone(name).state != "leaving"
             ):
-                for (request, number), attempt in self.scheduler.open_attempts.items():
+                for (request_id, attempt_number), attempt in self.scheduler.open_attempts.items():
                     endpoint = self.zone_agent.routing_filter.workers.get(attempt.worker_id)
                     if (
                         endpoint is not None
@@ -188,10 +197,11 @@
                     ):
                         delay_ms = self.random_source.uniform(0.0, MAX_CANCEL_DELAY_MS)
                         self.event_queue.schedule_after(
-                            delay_ms, self.scheduler.cancel_if_idempotent, request, number
+                            delay_ms, self.scheduler.cancel_if_idempotent, request_id, attempt_number
                         )
 
     def _update_endpoints(self) -> None:
+        """Passes the workers whose permission has changed to the decision module."""
         now = self.event_queue.now_ms
         self.had_lease, self.next_change_ms = (
             self.lease.is_valid(now),
@@ -203,6 +213,7 @@
             self.zone_agent.restart_concurrency_limits(self.scheduler.decision_module)
 
     def _check_lease(self) -> None:
+        """Reacts to a gained or lost lease, to changes that are due, and to zones that became unused."""
         if not self.scheduler.is_up:
             return
         now = self.event_queue.now_ms
@@ -215,6 +226,7 @@
         self.event_queue.schedule_after(LEASE_CHECK_INTERVAL_MS, self._check_lease)
 
     def _probe_in_background(self) -> None:
+        """Sends the background probes about once a second."""
         if self.scheduler.is_up:
             for worker in self.zone_agent.choose_background_probes():
                 self.scheduler.send_probe(worker)
@@ -224,7 +236,7 @@
 
 
 class StandaloneSimulatedFollower(SimulatedFollower):
-    """A scheduler in standalone mode: it decides by its own evidence alone."""
+    """The zone routing of a scheduler in standalone mode, which decides by its own evidence alone."""
 
     def __init__(self, simulation: StandaloneFleet, scheduler: SimulatedScheduler, incarnation: int) -> None:
         settings = scheduler.settings
@@ -255,6 +267,7 @@
         return listed_workers(self.zone_agent, self.event_queue.now_ms, self.scheduler.settings.slow_start_ms)
 
     def _send_renewal(self) -> None:
+        """Evaluates the scheduler's own evidence instead of sending it to a leader."""
         if not self.scheduler.is_up:
             return
         now, decision_module = self.event_queue.now_ms, self.scheduler.decision_module
@@ -264,11 +277,11 @@
         previous_zones = read_fleet_zones(self.document)
         if self.standalone.evaluate(now, evidence):
             self.document = self.standalone.document
-            self.simulation.note(now, previous_zones, read_fleet_zones(self.document))
+            self.simulation.record_zone_changes(now, previous_zones, read_fleet_zones(self.document))
             self._handle_document_change()
         if self.standalone.zones_to_probe:
             self._probe_workers(self.zone_agent.choose_workers_to_probe(self.standalone.zones_to_probe))
-        self.event_queue.schedule_after(SOLO_MS, self._send_renewal)
+        self.event_queue.schedule_after(STANDALONE_INTERVAL_MS, self._send_renewal)
 
     def _probe_workers(self, worker_ids: list[int]) -> None:
         for each in worker_ids:
@@ -278,22 +291,23 @@
 def listed_workers(
     zone_agent: ZoneAgent, now_ms: float, slow_start_ms: float
 ) -> dict[str, list[ListedWorker]]:
-    """Returns the workers by zone, as a scheduler's zone controller sees them."""
-    found: dict[str, list[ListedWorker]] = {}
+    """Returns the workers that a scheduler knows, by zone."""
+    workers_by_zone: dict[str, list[ListedWorker]] = {}
     for each in zone_agent.routing_filter.workers.values():
         is_warming_up = each.started > 0 and now_ms < each.started + slow_start_ms
-        found.setdefault(each.zone, []).append(ListedWorker(each.id, each.started, is_warming_up))
-    return found
+        workers_by_zone.setdefault(each.zone, []).append(ListedWorker(each.id, each.started, is_warming_up))
+    return workers_by_zone
 
 
 class ZoneFleet(FleetSimulation):
-    """A fleet whose schedulers each get a new follower in each incarnation."""
+    """Base of the fleets in which every incarnation of a scheduler gets a new follower."""
 
     def _attach_follower(self, scheduler: SimulatedScheduler) -> None:
+        """Creates the follower of a scheduler's incarnation."""
         raise NotImplementedError
 
     def start_scheduler(self, name: str) -> None:
-        """Restarts a stopped scheduler, with a follower for its new incarnation."""
+        """Restarts a stopped scheduler with a new follower."""
         previous = next(each for each in self.schedulers if each.name == name)
         super().start_scheduler(name)
         restarted = next(each for each in self.schedulers if each.name == name)
@@ -302,33 +316,34 @@
 
 
 class StandaloneFleet(ZoneFleet):
-    """A fleet whose schedulers leave and return to zones each by itself."""
+    """A fleet in which each scheduler decides by itself on leaving and returning to zones."""
 
-    def __init__(self, *given: Any, regions: dict[str, tuple[str, ...]] | None = None, **more: Any) -> None:
-        super().__init__(*given, **more)
+    def __init__(
+        self, *arguments: Any, regions: dict[str, tuple[str, ...]] | None = None, **options: Any
+    ) -> None:
+        super().__init__(*arguments, **options)
         self.regions, self.incarnation_count = regions or {}, 0
-        self.zone_changes: list[
-            tuple[float, str, str, str]
-        ] = []  # time (ms), zone, state, reason; of any scheduler
-        for node in self.schedulers:
-            self._attach_follower(node)
+        #: Changes by any scheduler: time (ms), zone, state, reason.
+        self.zone_changes: list[tuple[float, str, str, str]] = []
+        for scheduler in self.schedulers:
+            self._attach_follower(scheduler)
 
     def _attach_follower(self, scheduler: SimulatedScheduler) -> None:
         self.incarnation_count += 1
         StandaloneSimulatedFollower(self, scheduler, self.incarnation_count)
         scheduler.receive_event(
             api.WorkerList(
-                "persisted", tuple(view.entry for view in scheduler.decision_module.worker_states.values())
+                "persisted", tuple(state.entry for state in scheduler.decision_module.worker_states.values())
             )
         )
 
-    def note(self, now_ms: float, previous: Any, current: Any) -> None:
-        """Records the zone changes of one scheduler."""
+    def record_zone_changes(self, now_ms: float, previous: Any, current: Any) -> None:
+        """Records the zones that a scheduler's document has changed."""
         self.zone_changes += zone_state_changes(now_ms, previous, current)
 
 
 def zone_state_changes(now_ms: float, previous: Any, current: Any) -> list[tuple[float, str, str, str]]:
-    """Returns the changed zones as time (ms), zone, state and reason."""
+    """Returns the zones that differ between two states of the fleet, as time (ms), zone, state, reason."""
     return [
         (now_ms, name, zone.state, zone.reason)
         for name, zone in current.zones.items()
@@ -337,20 +352,22 @@
 
 
 class LeaderFleet(ZoneFleet):
-    """A fleet with a leader, which decides on zones for all schedulers."""
+    """A fleet with a leader that decides on leaving and returning to zones for all schedulers."""
 
-    def __init__(self, *given: Any, regions: dict[str, tuple[str, ...]] | None = None, **more: Any) -> None:
-        super().__init__(*given, **more)
+    def __init__(
+        self, *arguments: Any, regions: dict[str, tuple[str, ...]] | None = None, **options: Any
+    ) -> None:
+        super().__init__(*arguments, **options)
         self.regions, self.document, self.incarnation_count = regions or {}, Document(), 0
-        self.bytes = self.renewal_count = 0  # of renewals
+        self.bytes = self.renewal_count = 0  # of all renewals; bytes counts their evidence
         self.zone_changes: list[tuple[float, str, str, str]] = []  # time (ms), zone, state, reason
         self.random_source = random.Random(self.schedulers[0].seed + 1)
         self.followers: dict[str, SimulatedFollower] = {}
         self.controllers: dict[str, ZoneController] = {}
-        for node in self.schedulers:
-            self._attach_follower(node)
+        for scheduler in self.schedulers:
+            self._attach_follower(scheduler)
         self.leader: Leader | None = None
-        self.leading_member = ""  # name of the leader
+        self.leader_name = ""  # of the scheduler that is the leader, or was it last
         self.controllers = {
             each.name: self._make_controller(each) for each in self.schedulers[:STORE_MEMBER_COUNT]
         }
@@ -364,7 +381,7 @@
             self.controllers[scheduler.name] = self._make_controller(scheduler)
         scheduler.receive_event(
             api.WorkerList(
-                "persisted", tuple(view.entry for view in scheduler.decision_module.worker_states.values())
+                "persisted", tuple(state.entry for state in scheduler.decision_module.worker_states.values())
             )
         )
 
@@ -385,7 +402,7 @@
         )
 
     def _refresh_worker_lists(self) -> None:
-        """Refreshes the worker list of every member that is up, every LIST_REFRESH_INTERVAL_MS."""
+        """Refreshes the worker list of every store member that is up; repeats periodically."""
         for scheduler in self.schedulers[:STORE_MEMBER_COUNT]:
             if scheduler.is_up:
                 self.controllers[scheduler.name].refresh_worker_list(self.event_queue.now_ms)
@@ -395,12 +412,12 @@
         return next((each for each in self.schedulers[:STORE_MEMBER_COUNT] if each.is_up), None)
 
     def _start_leading(self) -> None:
-        """Makes the first member that is up the leader; retries after TAKEOVER_DELAY_MS if none is."""
+        """Makes the first store member that is up the leader, or retries after TAKEOVER_DELAY_MS."""
         scheduler, now = self._first_member_up(), self.event_queue.now_ms
         if scheduler is None:
             self.event_queue.schedule_after(TAKEOVER_DELAY_MS, self._start_leading)
             return
-        self.leading_member = scheduler.name
+        self.leader_name = scheduler.name
         self.leader = Leader(
             scheduler.name, LEASE_MS, self.controllers[scheduler.name], now, self.random_source.random
         )
@@ -413,6 +430,7 @@
         self._run_leader(scheduler)
 
     def _run_leader(self, scheduler: SimulatedScheduler) -> None:
+        """Makes the leader's decisions that are due; repeats until its scheduler stops."""
         now = self.event_queue.now_ms
         if not scheduler.is_up:
             self.leader = None
@@ -435,23 +453,23 @@
         )
 
     def forward_renewal(self, follower: SimulatedFollower, renewal: Renew, evidence_bytes: int) -> None:
-        """Sends a renewal to the leader, whose answer goes back to the follower."""
+        """Sends a renewal to the leader, and its reply to the follower; both may be lost."""
         self.renewal_count, self.bytes = self.renewal_count + 1, self.bytes + evidence_bytes
         leader = self.leader
-        leader_zone = self.followers[self.leading_member].scheduler.zone if leader is not None else ""
+        leader_zone = self.followers[self.leader_name].scheduler.zone if leader is not None else ""
         delay_ms = (
             None if leader is None else self.network.message_delay_ms(follower.scheduler.zone, leader_zone)
         )
         if delay_ms is None:
             return
 
-        def answer(granted: RenewalReply) -> None:
-            back = self.network.message_delay_ms(leader_zone, follower.scheduler.zone)
-            if back is not None:
-                self.event_queue.schedule_after(back, follower.handle_grant, granted)
+        def send_reply(reply: RenewalReply) -> None:
+            reply_delay_ms = self.network.message_delay_ms(leader_zone, follower.scheduler.zone)
+            if reply_delay_ms is not None:
+                self.event_queue.schedule_after(reply_delay_ms, follower.handle_reply, reply)
 
-        def come() -> None:
+        def deliver() -> None:
             if self.leader is leader:
-                leader.handle_renewal(self.event_queue.now_ms, renewal, answer)
+                leader.handle_renewal(self.event_queue.now_ms, renewal, send_reply)
 
-        self.event_queue.schedule_after(delay_ms, come)
+        self.event_queue.schedule_after(delay_ms, deliver)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -118,7 +118,7 @@
         self.assertEqual((done.returncode, "broken" in done.stdout), (1, True))
         self.assertEqual(spanwing("load", "calm-day", "--to", "nowhere").returncode, 2)
         done = spanwing("load", "no-day", "--to", "127.0.0.1:1")
-        self.assertEqual((done.returncode, "ready ones are" in done.stderr), (1, True))
+        self.assertEqual((done.returncode, "the library has" in done.stderr), (1, True))
 
 
 if __name__ == "__main__":
