--- a/spanwing/experiment/__init__.py
+++ b/spanwing/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments on the simulation: scenarios, variants, seeds and builds; played, compared and shown."""
+"""Experiments on the simulation: runs scenarios by variant, seed and build, and compares the results."""
--- a/spanwing/experiment/cell.py
+++ b/spanwing/experiment/cell.py
@@ -1,8 +1,8 @@
-"""Plays one cell of an experiment: a scenario, a variant and a seed, by the build of this process.
+"""Runs one cell of an experiment: a scenario, a variant and a seed, with the code of this process.
 
-    python -m spanwing.experiment.cell < order.json > row.json
+    python -m spanwing.experiment.cell < cell.json > row.json
 
-The same order and build give the same row, but for `decision_us`, which is measured.
+The same CellSpec and build give the same result, except for `decision_us`, which is measured.
 """
 
 from __future__ import annotations
@@ -19,44 +19,45 @@
 from spanwing.simulation.scenario import Scenario, parse_scenario
 
 
-class CellOrder(msgspec.Struct):
-    """The cell to play.
+class CellSpec(msgspec.Struct):
+    """Describes the cell to run.
 
-    `changes` are by place in the scenario, as `load.level` or `workers[0].count`.
+    `changes` are the variant's values by their path in the scenario, such as `load.level` or
+    `workers[0].count`.
     """
 
-    scenario: str  # the file's text
+    scenario: str  # text of the scenario file
     changes: dict[str, Any]
     seed: int
 
 
 def apply_changes(scenario: Scenario, changes: dict[str, Any]) -> Scenario:
-    """Returns the scenario with some values replaced.
+    """Returns the scenario with the values at some paths replaced.
 
-    Raises ConfigurationError where a place or value is not possible.
+    Raises ConfigurationError if a path does not exist or the changed scenario is not valid.
     """
     value = msgspec.to_builtins(scenario)
-    for path_in_scenario, new_value in changes.items():
+    for full_path, new_value in changes.items():
         container: Any = value
-        *path, last_step = _parse_path(path_in_scenario)
+        *path, last_step = _parse_path(full_path)
         try:
             for step in path:
                 container = container[step]
             container[last_step], _ = new_value, container[last_step]
         except (KeyError, IndexError, TypeError):
-            ErrorCollector().add_error(path_in_scenario, "there is no such place in the scenario")
+            ErrorCollector().add_error(full_path, "there is no such setting in the scenario")
     try:
         changed_scenario = msgspec.convert(value, Scenario)
     except msgspec.ValidationError as error:
         ErrorCollector().add_error(", ".join(changes), str(error))
         raise
-    for path_in_scenario, message in changed_scenario.find_errors():
-        ErrorCollector().add_error(path_in_scenario, message)
+    for full_path, message in changed_scenario.find_errors():
+        ErrorCollector().add_error(full_path, message)
     return changed_scenario
 
 
 def _parse_path(path: str) -> list[str | int]:
-    """Splits a place: `workers[0].count` gives workers, 0, count."""
+    """Splits a path into keys and indexes: `workers[0].count` gives workers, 0, count."""
     steps: list[str | int] = []
     for part in path.split("."):
         name, _, indexes = part.partition("[")
@@ -65,12 +66,15 @@
     return steps
 
 
-def play_cell(order: CellOrder) -> dict[str, Any]:
-    """Plays a cell; returns its row of figures, the series, the digest and the faults' times in s."""
-    scenario = apply_changes(parse_scenario(order.scenario.encode(), ErrorCollector()), order.changes)
-    plan = scenario.build_plan(order.seed)
+def run_cell(spec: CellSpec) -> dict[str, Any]:
+    """Runs a cell; returns its row of figures, its series by second, its digest and its faults.
+
+    A fault is listed as its kind, begin and end, in seconds.
+    """
+    scenario = apply_changes(parse_scenario(spec.scenario.encode(), ErrorCollector()), spec.changes)
+    plan = scenario.build_plan(spec.seed)
     tally = OutcomeTally(plan.classes)
-    simulation = _build_simulation(scenario, plan, order.seed, tally)
+    simulation = _build_simulation(scenario, plan, spec.seed, tally)
     FaultInjector(simulation, tuple(scenario.faults), scenario.day_ms)
     seconds = int(scenario.seconds)
     for second in range(seconds):
@@ -92,6 +96,7 @@
 
 
 def _build_simulation(scenario: Scenario, plan: FleetPlan, seed: int, tally: OutcomeTally) -> FleetSimulation:
+    """Builds the simulated fleet that the scenario asks for, with or without a zone leader."""
     if not scenario.has_zone_leader:
         return FleetSimulation(plan, seed, tally.record_answer)
     from spanwing.simulation.zone_fleet import LeaderFleet
@@ -101,9 +106,9 @@
 
 
 def main() -> None:
-    """Reads a CellOrder as JSON from stdin, plays it and writes the result as JSON to stdout."""
-    order = msgspec.json.decode(sys.stdin.buffer.read(), type=CellOrder)
-    sys.stdout.buffer.write(msgspec.json.encode(play_cell(order)))
+    """Reads a CellSpec as JSON from stdin, runs it and writes the result as JSON to stdout."""
+    spec = msgspec.json.decode(sys.stdin.buffer.read(), type=CellSpec)
+    sys.stdout.buffer.write(msgspec.json.encode(run_cell(spec)))
 
 
 if __name__ == "__main__":
