--- a/spanwing/load/__init__.py
+++ b/spanwing/load/__init__.py
@@ -1,1 +1,1 @@
-"""Load on real schedulers, over sockets: open-loop arrivals from a scenario's clients."""
+"""Load tests of real schedulers over HTTP, with the open-loop arrivals of a scenario's clients."""
--- a/spanwing/load/openloop.py
+++ b/spanwing/load/openloop.py
@@ -1,12 +1,13 @@
-"""Sends a scenario's requests to schedulers at the scenario's times, whatever they answer (open loop).
+"""Sends a scenario's requests to schedulers at their arrival times, independent of the answers (open loop).
 
-A request is due at its own time, and its latency counts from there, not from when it was written, so a
-scheduler that stalls is charged for every request that arrived meanwhile (coordinated omission, G. Tene).
-The generator's own lateness is recorded beside it, with a warning where it was LATENESS_WARNING_MS or more
-at the 99th percentile: then the load was not what was asked for.
+The latency of a request counts from its arrival time, not from when it was written. A scheduler that stalls
+is therefore charged for every request that arrives meanwhile (this avoids coordinated omission, G. Tene).
+The generator records how late it sends each request. If that is LATENESS_WARNING_MS or more at the 99th
+percentile, the result has a warning, as the actual load differed from the requested load.
 
-Bounds: `max_connections` connections. A request that finds none free waits for one, up to 1 s beyond its
-deadline, and the wait counts as latency. Each request ends in exactly one CompletedRequest.
+Bounds: `max_connections` connections. If all are in use, a request waits for one; its exchange is given up
+1 s after the class's deadline, and the wait counts as latency. Each request ends in exactly one
+CompletedRequest.
 """
 
 from __future__ import annotations
@@ -31,69 +32,76 @@
     """The outcome of one request; times in ms."""
 
     class_name: str
-    outcome: str  # of OUTCOME_BY_STATUS, or `broken`: no complete answer came
-    latency_ms: float  # from when it was due
-    service_ms: float  # from when its last byte was written
-    lateness_ms: float  # the generator's own, when sending
+    outcome: str  # of OUTCOME_BY_STATUS, or `broken` without a complete answer
+    latency_ms: float  # from the arrival time
+    service_ms: float  # from when the last byte was written
+    lateness_ms: float  # how long after the arrival time the generator started to send
 
 
 class LoadTestResult(NamedTuple):
-    """The figures of a load test; times in ms by percentile."""
+    """The figures of a load test; times in ms by percentile.
 
-    asked: int
-    seconds: float
-    kinds: dict[str, int]
-    latency: dict[str, float]  # by percentile, from when requests were due
-    service: dict[str, float]
-    late: dict[str, float]
-    by_class: dict[str, dict[str, float]]
+    The field names are the keys of the JSON report of `spanwing load`.
+    """
+
+    asked: int  # number of requests
+    seconds: float  # duration of the run
+    kinds: dict[str, int]  # number of requests by outcome
+    latency: dict[str, float]  # CompletedRequest.latency_ms
+    service: dict[str, float]  # CompletedRequest.service_ms
+    late: dict[str, float]  # CompletedRequest.lateness_ms
+    by_class: dict[str, dict[str, float]]  # latency by class
 
     @property
     def warning(self) -> str:
-        """The warning that the generator ran late, or "" if it did not."""
-        late = self.late["99"]
+        """A warning if the generator sent requests too late, or ""."""
+        lateness_ms = self.late["99"]
         return (
             ""
-            if late < LATENESS_WARNING_MS
+            if lateness_ms < LATENESS_WARNING_MS
             else (
-                f"the generator ran {late:.0f} ms late at its 99th percentile: the load was not as asked for"
+                f"the generator ran {lateness_ms:.0f} ms late at the 99th percentile; "
+                "the load was not as requested"
             )
         )
 
 
 def compute_percentiles(values: list[float]) -> dict[str, float]:
-    """Computes the PERCENTILES of the values; all are 0 without values."""
+    """Returns the PERCENTILES of the values by name; all are 0 without values."""
     if not values:
         return {f"{each:g}": 0.0 for each in PERCENTILES}
-    found = np.percentile(values, PERCENTILES)
-    return {f"{each:g}": float(value) for each, value in zip(PERCENTILES, found, strict=True)}
+    computed = np.percentile(values, PERCENTILES)
+    return {f"{each:g}": float(value) for each, value in zip(PERCENTILES, computed, strict=True)}
 
 
 class OpenLoopGenerator:
-    """One run against some schedulers, which get requests in turn (round robin)."""
+    """One load test of some schedulers, which get the requests round robin.
+
+    `run_id` is part of the ids of all requests; it has to differ between runs.
+    """
 
     def __init__(self, endpoints: list[HostAndPort], run_id: str, max_connections: int = 2000) -> None:
         assert endpoints
         assert max_connections > 0
         self.endpoints, self.run_id, self.max_connections = endpoints, run_id, max_connections
         self.idle_connections: dict[HostAndPort, list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]] = {
-            place: [] for place in endpoints
+            endpoint: [] for endpoint in endpoints
         }
         self.connection_slots = asyncio.Semaphore(max_connections)
         self.completed: list[CompletedRequest] = []
         self.tasks: set[asyncio.Task] = set()
 
     async def run(self, requests: Iterable[GeneratedRequest], seconds: float) -> LoadTestResult:
-        """Sends all requests due within so many seconds, and waits for their answers or deadlines."""
+        """Sends all requests that arrive within `seconds`, and waits until each is answered or given up."""
         started_at_s = time.perf_counter()
-        for number, each in enumerate(requests):
+        for index, each in enumerate(requests):
             if each.arrives_at_ms >= seconds * 1000.0:
                 break
             due_at_s = started_at_s + each.arrives_at_ms / 1000.0
             if (wait_s := due_at_s - time.perf_counter()) > 0:
                 await asyncio.sleep(wait_s)
             task = asyncio.ensure_future(
-                self._send_request(each, due_at_s, self.endpoints[number % len(self.endpoints)])
+                self._send_request(each, due_at_s, self.endpoints[index % len(self.endpoints)])
             )
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
@@ -103,6 +111,7 @@
         return self.build_result(time.perf_counter() - started_at_s)
 
     async def _send_request(self, request: GeneratedRequest, due_at_s: float, endpoint: HostAndPort) -> None:
+        """Sends a request once a connection is free, and records its outcome."""
         started_at_s = time.perf_counter()
         outcome, written_at_s = "broken", started_at_s
         try:
@@ -110,21 +119,21 @@
                 outcome, written_at_s = await self._exchange_http(request, endpoint)
         except (OSError, asyncio.IncompleteReadError, TimeoutError, ValueError):
             pass
-        now = time.perf_counter()
+        now_s = time.perf_counter()
         self.completed.append(
             CompletedRequest(
                 request.class_spec.name,
                 outcome,
-                (now - due_at_s) * 1000.0,
-                (now - written_at_s) * 1000.0,
+                (now_s - due_at_s) * 1000.0,
+                (now_s - written_at_s) * 1000.0,
                 (started_at_s - due_at_s) * 1000.0,
             )
         )
 
     async def _exchange_http(self, request: GeneratedRequest, endpoint: HostAndPort) -> tuple[str, float]:
-        """Sends a request and reads its answer; returns the outcome and the time of writing, in s.
+        """Sends a request and reads its answer; returns the outcome and when the request was written, in s.
 
-        Raises OSError or IncompleteReadError where no complete answer came.
+        Raises OSError, IncompleteReadError or ValueError if no complete and valid answer comes.
         """
         body = b"x" * 64
         data = (
@@ -134,7 +143,7 @@
             f"Idempotency-Key: {request.sticky_key}\r\nContent-Length: {len(body)}\r\n\r\n"
         ).encode() + body
         idle = self.idle_connections[endpoint]
-        while idle and idle[-1][0].at_eof():  # closed while it was idle
+        while idle and idle[-1][0].at_eof():  # closed by the scheduler while it was idle
             idle.pop()[1].close()
         reader, writer = idle.pop() if idle else await asyncio.open_connection(*endpoint)
         try:
@@ -154,7 +163,7 @@
         return OUTCOME_BY_STATUS.get(int(head.split(" ")[1]), "failed"), written_at_s
 
     def build_result(self, seconds: float) -> LoadTestResult:
-        """Computes the figures of all completed requests; `seconds` is the run's duration."""
+        """Computes the figures of all completed requests; `seconds` is the duration of the run."""
         classes = sorted({each.class_name for each in self.completed})
         return LoadTestResult(
             len(self.completed),
@@ -164,10 +173,10 @@
             compute_percentiles([each.service_ms for each in self.completed]),
             compute_percentiles([each.lateness_ms for each in self.completed]),
             {
-                cls: compute_percentiles(
-                    [each.latency_ms for each in self.completed if each.class_name == cls]
+                class_name: compute_percentiles(
+                    [each.latency_ms for each in self.completed if each.class_name == class_name]
                 )
-                for cls in classes
+                for class_name in classes
             },
         )
 
