--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -1,4 +1,4 @@
-"""The model of the fleet: known answers, conservation, and the same world from the same seed."""
+"""The simulation: reproducible runs, conservation of requests and work, results of queueing theory."""
 
 from __future__ import annotations
 
@@ -48,18 +48,18 @@
 )
 
 
-def plan(rate: float = 120.0, **changes) -> FleetPlan:
+def fleet_plan(rate: float = 120.0, **changes) -> FleetPlan:
     workers = tuple(
         WorkerSpec(
-            f"w{n}",
-            zone="ab"[n % 2],
+            f"w{index}",
+            zone="ab"[index % 2],
             kind="big",
             initial_capacity=0.3,
             slow_start_ms=3000.0,
             overload_multiple=3.0,
             overload_window_ms=3000.0,
         )
-        for n in range(6)
+        for index in range(6)
     )
     return FleetPlan(
         **{
@@ -73,87 +73,88 @@
     )
 
 
-def troubled(fleet: FleetSimulation) -> None:
-    """Workers that fall, fail, fall silent and come back; a partition; a scheduler that ends."""
-    places = list(fleet.worker_hosts.values())
-    at = fleet.event_queue.schedule_at
+def schedule_faults(fleet: FleetSimulation) -> None:
+    """Schedules a crash and restart, a silent and a failing worker, a partition and a scheduler stop."""
+    hosts = list(fleet.worker_hosts.values())
+    schedule_at = fleet.event_queue.schedule_at
 
-    at(1000.0, fleet.crash_worker, places[0])
-    at(2500.0, fleet.start_worker, places[0])
-    at(1200.0, setattr, places[1].worker, "is_silent", True)
-    at(3000.0, setattr, places[1].worker, "is_silent", False)
-    at(1500.0, setattr, places[2].worker, "fails_fast", True)
-    at(1800.0, setattr, places[2].worker, "fails_fast", False)
-    at(2000.0, fleet.network.partition, "a", "b")
-    at(2400.0, fleet.network.heal_partition, "a", "b")
-    at(3500.0, fleet.stop_scheduler, fleet.schedulers[1])
+    schedule_at(1000.0, fleet.crash_worker, hosts[0])
+    schedule_at(2500.0, fleet.start_worker, hosts[0])
+    schedule_at(1200.0, setattr, hosts[1].worker, "is_silent", True)
+    schedule_at(3000.0, setattr, hosts[1].worker, "is_silent", False)
+    schedule_at(1500.0, setattr, hosts[2].worker, "fails_fast", True)
+    schedule_at(1800.0, setattr, hosts[2].worker, "fails_fast", False)
+    schedule_at(2000.0, fleet.network.partition, "a", "b")
+    schedule_at(2400.0, fleet.network.heal_partition, "a", "b")
+    schedule_at(3500.0, fleet.stop_scheduler, fleet.schedulers[1])
 
 
-def world(seed: int) -> tuple[str, int, int]:
-    fleet = FleetSimulation(plan(), seed)
-    troubled(fleet)
+def run_fleet(seed: int) -> tuple[str, int, int]:
+    """Runs a fleet with faults; returns its digest and the numbers of calls and requests."""
+    fleet = FleetSimulation(fleet_plan(), seed)
+    schedule_faults(fleet)
     fleet.run(4000.0)
     return fleet.digest.hexdigest(), fleet.event_queue.executed_count, fleet.accounting.request_count
 
 
-class SameSeed(unittest.TestCase):
-    def test_the_same_world_in_one_process_and_in_four(self) -> None:
-        here = [world(seed) for seed in range(4)]
+class Reproducibility(unittest.TestCase):
+    def test_runs_are_the_same_in_one_process_and_in_four(self) -> None:
+        local_runs = [run_fleet(seed) for seed in range(4)]
         with ProcessPoolExecutor(4) as pool:
-            self.assertEqual(list(pool.map(world, range(4))), here)
-        self.assertEqual(len({digest for digest, *_ in here}), 4)
+            self.assertEqual(list(pool.map(run_fleet, range(4))), local_runs)
+        self.assertEqual(len({digest for digest, *_ in local_runs}), 4)
 
-    def test_a_stream_is_its_own(self) -> None:
-        alone = RandomStreams(7).stream("clients", "work").random(5).tolist()
-        among = RandomStreams(7)
+    def test_a_random_stream_is_independent_of_other_streams(self) -> None:
+        expected = RandomStreams(7).stream("clients", "work").random(5).tolist()
+        streams = RandomStreams(7)
         for name in ("network", "clients", "x"):
-            among.stream(name).random(100)
-        self.assertEqual(among.stream("clients", "work").random(5).tolist(), alone)
-        self.assertNotEqual(RandomStreams(8).stream("clients", "work").random(5).tolist(), alone)
+            streams.stream(name).random(100)
+        self.assertEqual(streams.stream("clients", "work").random(5).tolist(), expected)
+        self.assertNotEqual(RandomStreams(8).stream("clients", "work").random(5).tolist(), expected)
 
-    def test_entries_of_one_moment_go_in_their_order(self) -> None:
-        agenda, made = EventQueue(), []
+    def test_calls_due_at_the_same_time_are_made_in_order_of_scheduling(self) -> None:
+        event_queue, made = EventQueue(), []
         for number in range(50):
-            entry = agenda.schedule_at(5.0, made.append, number)
+            scheduled = event_queue.schedule_at(5.0, made.append, number)
             if number % 3 == 0:
-                entry.cancel()
-        agenda.schedule_at(-1.0, made.append, "first")
-        agenda.run_until(10.0)
-        self.assertEqual(made, ["first", *(n for n in range(50) if n % 3)])
-        self.assertEqual(agenda.now_ms, 10.0)
+                scheduled.cancel()
+        event_queue.schedule_at(-1.0, made.append, "first")
+        event_queue.run_until(10.0)
+        self.assertEqual(made, ["first", *(number for number in range(50) if number % 3)])
+        self.assertEqual(event_queue.now_ms, 10.0)
 
 
 class Conservation(unittest.TestCase):
-    def test_at_every_step_each_request_is_in_one_place_and_no_work_is_lost(self) -> None:
+    def test_requests_and_work_are_accounted_for_at_every_step(self) -> None:
         for seed in range(4):
-            fleet, checks = FleetSimulation(plan(200.0), seed), []
-            troubled(fleet)
-            for at in range(0, 6000, 7):
-                fleet.event_queue.schedule_at(float(at), self.look, fleet, checks)
+            fleet, checks = FleetSimulation(fleet_plan(200.0), seed), []
+            schedule_faults(fleet)
+            for time_ms in range(0, 6000, 7):
+                fleet.event_queue.schedule_at(float(time_ms), self.check_fleet, fleet, checks)
             fleet.run(4000.0)
             self.assertEqual((fleet.client_requests, len(checks)), ({}, 858))
             self.assertEqual(fleet.accounting.count_by_stage["over"], fleet.accounting.request_count)
 
-    def look(self, fleet: FleetSimulation, checks: list) -> None:
+    def check_fleet(self, fleet: FleetSimulation, checks: list) -> None:
         checks.append(fleet.event_queue.now_ms)
-        for place in fleet.worker_hosts.values():
-            fleet.advance_worker(place)
+        for host in fleet.worker_hosts.values():
+            fleet.advance_worker(host)
         fleet.check_conservation()
 
-    def test_each_request_is_told_once(self) -> None:
-        told: list[AnsweredRequest] = []
-        fleet = FleetSimulation(plan(), 3, told.append)
-        troubled(fleet)
+    def test_each_request_is_reported_once(self) -> None:
+        answered: list[AnsweredRequest] = []
+        fleet = FleetSimulation(fleet_plan(), 3, answered.append)
+        schedule_faults(fleet)
         fleet.run(4000.0)
-        self.assertEqual(len(told), fleet.accounting.request_count)
-        kinds = {each.outcome for each in told}
-        self.assertLessEqual({"served", "refused", "left", "lost"}, kinds | {"refused"})
-        self.assertGreater(sum(each.outcome == "served" for each in told), 0.7 * len(told))
+        self.assertEqual(len(answered), fleet.accounting.request_count)
+        outcomes = {each.outcome for each in answered}
+        self.assertLessEqual({"served", "refused", "left", "lost"}, outcomes | {"refused"})
+        self.assertGreater(sum(each.outcome == "served" for each in answered), 0.7 * len(answered))
 
     @given(
         st.lists(
             st.tuples(
-                st.sampled_from(["offer", "cancel", "pass"]),
+                st.sampled_from(["submit", "cancel", "advance"]),
                 st.floats(0, 40),
                 st.integers(0, 9),
                 st.integers(1, 3),
@@ -164,7 +165,7 @@
         st.sampled_from(["fifo", "backfill", "priority"]),
         st.booleans(),
     )
-    def test_a_worker_ends_each_job_once_and_loses_no_work(self, steps, order, suspends) -> None:
+    def test_a_worker_ends_each_job_once_and_loses_no_work(self, steps, queue_discipline, preempts) -> None:
         worker = SimulatedWorker(
             WorkerSpec(
                 "w",
@@ -172,34 +173,34 @@
                 cores=3.0,
                 queue_length=5,
                 memory=6.0,
-                queue_discipline=order,
-                preempts=suspends,
+                queue_discipline=queue_discipline,
+                preempts=preempts,
                 initial_capacity=0.5,
                 slow_start_ms=200.0,
             )
         )
-        now, asked, ended, offered = 0.0, 0.0, [], 0
-        for number, (what, span, which, slots, priority) in enumerate(steps):
-            now += span
-            said = []
-            if what == "offer":
-                offered += 1
+        now_ms, requested_work, ended, submitted_count = 0.0, 0.0, [], 0
+        for number, (operation, interval_ms, choice, slots, priority) in enumerate(steps):
+            now_ms += interval_ms
+            events = []
+            if operation == "submit":
+                submitted_count += 1
                 job = WorkerJob(
                     f"j{number}",
-                    span * 3,
+                    interval_ms * 3,
                     slots,
                     float(slots),
                     priority,
-                    which % 2 == 0,
-                    now + 50.0 if which == 0 else math.inf,
+                    choice % 2 == 0,
+                    now_ms + 50.0 if choice == 0 else math.inf,
                 )
-                said = worker.submit_job(now, job)
-                asked += job.work_ms if job.attempt_key in worker.accepted_jobs else 0.0
-            elif what == "cancel":
-                said = worker.cancel_job(now, f"j{which}")
+                events = worker.submit_job(now_ms, job)
+                requested_work += job.work_ms if job.attempt_key in worker.accepted_jobs else 0.0
+            elif operation == "cancel":
+                events = worker.cancel_job(now_ms, f"j{choice}")
             else:
-                said = worker.advance_to(now)
-            ended += [each.attempt_key for each in said if isinstance(each, JobEnded)]
+                events = worker.advance_to(now_ms)
+            ended += [each.attempt_key for each in events if isinstance(each, JobEnded)]
             self.assertLessEqual(worker.slots_in_use, 4)
             self.assertLessEqual(worker.memory_in_use, 6.0)
             self.assertEqual(
@@ -208,75 +209,83 @@
                     each.job.slots for each in worker.accepted_jobs.values() if each not in worker.queued_jobs
                 ),
             )
-            worked = worker.work_totals
-            done = worked.done + worked.wasted + worker.unfinished_processed_work()
-            self.assertAlmostEqual(done, worker.processed_work, places=3)
-            self.assertAlmostEqual(done + worked.withdrawn + worker.remaining_work(), asked, places=3)
-        ended += [each.attempt_key for each in worker.advance_to(now + 1e5) if isinstance(each, JobEnded)]
-        self.assertEqual((len(ended), len(set(ended)), worker.accepted_jobs), (offered, offered, {}))
+            totals = worker.work_totals
+            processed_work = totals.done + totals.wasted + worker.unfinished_processed_work()
+            self.assertAlmostEqual(processed_work, worker.processed_work, places=3)
+            self.assertAlmostEqual(
+                processed_work + totals.withdrawn + worker.remaining_work(), requested_work, places=3
+            )
+        ended += [each.attempt_key for each in worker.advance_to(now_ms + 1e5) if isinstance(each, JobEnded)]
+        self.assertEqual(
+            (len(ended), len(set(ended)), worker.accepted_jobs), (submitted_count, submitted_count, {})
+        )
 
 
-class KnownAnswers(unittest.TestCase):
-    """Against the formulas of queueing theory, and the rules that the model states."""
+class KnownResults(unittest.TestCase):
+    """Compares the model with formulas of queueing theory and with its own stated rules."""
 
-    def waits(self, servers: int, gaps: np.ndarray, works: np.ndarray) -> np.ndarray:
-        """How long each job waited before it began."""
+    def simulate_waits(self, servers: int, gaps: np.ndarray, works: np.ndarray) -> np.ndarray:
+        """Returns how long each job waited before it began, in ms."""
         worker = SimulatedWorker(
             WorkerSpec("w", cores=servers, slots=servers, queue_length=10**9, queue_discipline="fifo")
         )
-        at = np.cumsum(gaps)
-        began: dict[str, float] = {}
-        agenda = EventQueue()
+        arrivals_ms = np.cumsum(gaps)
+        began_ms: dict[str, float] = {}
+        event_queue = EventQueue()
 
-        def take(said) -> None:
-            for each in said:
+        def handle_events(events) -> None:
+            for each in events:
                 if isinstance(each, JobBegan):
-                    began[each.attempt_key] = agenda.now_ms
-            due = worker.next_event_ms()
-            if due is not None:
-                agenda.schedule_at(due, wake)
+                    began_ms[each.attempt_key] = event_queue.now_ms
+            due_ms = worker.next_event_ms()
+            if due_ms is not None:
+                event_queue.schedule_at(due_ms, wake)
 
         def wake() -> None:
-            if (due := worker.next_event_ms()) is not None and due <= agenda.now_ms:
-                take(worker.advance_to(agenda.now_ms))
+            if (due_ms := worker.next_event_ms()) is not None and due_ms <= event_queue.now_ms:
+                handle_events(worker.advance_to(event_queue.now_ms))
 
-        def offer(number: int) -> None:
-            if number + 1 < len(at):
-                agenda.schedule_at(float(at[number + 1]), offer, number + 1)
-            take(worker.submit_job(agenda.now_ms, WorkerJob(str(number), float(works[number]))))
+        def submit(number: int) -> None:
+            if number + 1 < len(arrivals_ms):
+                event_queue.schedule_at(float(arrivals_ms[number + 1]), submit, number + 1)
+            handle_events(worker.submit_job(event_queue.now_ms, WorkerJob(str(number), float(works[number]))))
 
-        agenda.schedule_at(float(at[0]), offer, 0)
-        agenda.run_until(float(at[-1]) + 1e7)
-        return np.array([began[str(number)] - at[number] for number in range(len(at))])
+        event_queue.schedule_at(float(arrivals_ms[0]), submit, 0)
+        event_queue.run_until(float(arrivals_ms[-1]) + 1e7)
+        return np.array([began_ms[str(number)] - arrivals_ms[number] for number in range(len(arrivals_ms))])
 
-    def close(self, waits: np.ndarray, wanted: float) -> None:
-        """Within four standard errors, from means of batches that hardly depend on one another."""
+    def assert_mean_wait(self, waits: np.ndarray, expected: float) -> None:
+        """Fails if the mean wait is four or more standard errors off.
+
+        The error is estimated from batch means, as waits of nearby jobs are correlated. The first 5% of the
+        jobs are left out.
+        """
         batches = waits[len(waits) // 20 :][: len(waits) // 20 * 19].reshape(19, -1).mean(axis=1)
         error = batches.std(ddof=1) / math.sqrt(len(batches))
-        self.assertLess(abs(batches.mean() - wanted), 4 * error, (batches.mean(), wanted, error))
-        self.assertLess(error, 0.15 * wanted, "too few jobs to say anything")
+        self.assertLess(abs(batches.mean() - expected), 4 * error, (batches.mean(), expected, error))
+        self.assertLess(error, 0.15 * expected, "too few jobs for a meaningful comparison")
 
-    def test_many_servers(self) -> None:
+    def test_mean_wait_with_several_servers(self) -> None:
         servers, load, work, count = 4, 0.8, 10.0, 40_000
-        source = RandomStreams(5).stream("M/M/c")
-        gaps = source.exponential(work / (servers * load), count)
+        stream = RandomStreams(5).stream("M/M/c")
+        gaps = stream.exponential(work / (servers * load), count)
         offered = servers * load
-        # Erlang C: the chance to wait, and the mean wait.
+        # The mean wait in an M/M/c queue, by the Erlang C formula.
         terms = [offered**n / math.factorial(n) for n in range(servers)]
         last = offered**servers / math.factorial(servers) / (1 - load)
-        wanted = last / (sum(terms) + last) * work / (servers * (1 - load))
-        self.close(self.waits(servers, gaps, source.exponential(work, count)), wanted)
+        expected = last / (sum(terms) + last) * work / (servers * (1 - load))
+        self.assert_mean_wait(self.simulate_waits(servers, gaps, stream.exponential(work, count)), expected)
 
-    def test_one_server_and_any_work(self) -> None:
+    def test_mean_wait_with_one_server_and_general_work(self) -> None:
         load, work, cv, count = 0.6, 10.0, 1.5, 40_000
-        source = RandomStreams(6).stream("M/G/1")
-        gaps = source.exponential(work / load, count)
+        stream = RandomStreams(6).stream("M/G/1")
+        gaps = stream.exponential(work / load, count)
         sigma = math.sqrt(math.log1p(cv**2))
-        works = work * source.lognormal(-sigma * sigma / 2, sigma, count)
-        wanted = load / (1 - load) * (1 + cv**2) / 2 * work  # Pollaczek and Khinchine
-        self.close(self.waits(1, gaps, works), wanted)
+        works = work * stream.lognormal(-sigma * sigma / 2, sigma, count)
+        expected = load / (1 - load) * (1 + cv**2) / 2 * work  # Pollaczek-Khinchine formula
+        self.assert_mean_wait(self.simulate_waits(1, gaps, works), expected)
 
-    def cold(self) -> SimulatedWorker:
+    def warming_worker(self) -> SimulatedWorker:
         return SimulatedWorker(
             WorkerSpec(
                 "w",
@@ -290,22 +299,22 @@
             )
         )
 
-    def test_a_cold_worker_falls_over_beyond_its_multiple_and_no_sooner(self) -> None:
-        # At its start it has 3 of 10 slots' capacity: 9 are three times that, the tenth is one too many.
-        for jobs, falls in ((9, False), (10, True)):
-            worker = self.cold()
-            for number in range(jobs):
+    def test_a_warming_worker_stops_above_its_overload_multiple_only(self) -> None:
+        # At its start the worker has the capacity of 3 of 10 slots: 9 jobs are three times that, 10 are more.
+        for job_count, stops in ((9, False), (10, True)):
+            worker = self.warming_worker()
+            for number in range(job_count):
                 worker.submit_job(0.0, WorkerJob(f"j{number}", 1e9))
             worker.advance_to(499.0)
             self.assertFalse(worker.is_down)
             worker.advance_to(501.0)
-            self.assertEqual(worker.is_down, falls)
-            if falls:
+            self.assertEqual(worker.is_down, stops)
+            if stops:
                 self.assertEqual(len(worker.lost_attempts()), 10)
                 self.assertEqual(worker.submit_job(600.0, WorkerJob("late", 1.0)), [])
 
-    def test_what_lasts_less_long_does_no_harm(self) -> None:
-        worker = self.cold()
+    def test_an_overload_shorter_than_its_window_does_not_stop_a_worker(self) -> None:
+        worker = self.warming_worker()
         for number in range(10):
             worker.submit_job(0.0, WorkerJob(f"j{number}", 1e9))
         worker.cancel_job(499.0, "j0")
@@ -313,23 +322,25 @@
         worker.advance_to(998.0)
         self.assertFalse(worker.is_down)
 
-    def test_warmth_grows_to_its_end(self) -> None:
+    def test_capacity_grows_in_steps_while_warming_up(self) -> None:
         worker = SimulatedWorker(WorkerSpec("w", initial_capacity=0.3, slow_start_ms=1000.0))
-        said = worker.submit_job(0.0, WorkerJob("j", 100.0))
-        self.assertEqual(said, [JobBegan("j")])
-        seen, at = [], 0.0
-        while not seen:
-            at = worker.next_event_ms()
-            seen = worker.advance_to(at)
+        events = worker.submit_job(0.0, WorkerJob("j", 100.0))
+        self.assertEqual(events, [JobBegan("j")])
+        events, now_ms = [], 0.0
+        while not events:
+            now_ms = worker.next_event_ms()
+            events = worker.advance_to(now_ms)
         work = sum(
             (0.3 + 0.7 * step * WARM_UP_STEP_MS / 1000.0) * WARM_UP_STEP_MS
-            for step in range(int(at // WARM_UP_STEP_MS))
+            for step in range(int(now_ms // WARM_UP_STEP_MS))
+        )
+        work += (0.3 + 0.7 * (now_ms // WARM_UP_STEP_MS) * WARM_UP_STEP_MS / 1000.0) * (
+            now_ms % WARM_UP_STEP_MS
         )
-        work += (0.3 + 0.7 * (at // WARM_UP_STEP_MS) * WARM_UP_STEP_MS / 1000.0) * (at % WARM_UP_STEP_MS)
-        self.assertEqual(seen, [JobEnded("j", "ok")])
+        self.assertEqual(events, [JobEnded("j", "ok")])
         self.assertAlmostEqual(work, 100.0, places=3)
 
-    def test_a_repeat_within_its_window_costs_nothing(self) -> None:
+    def test_a_repeat_within_its_deduplication_window_is_not_run(self) -> None:
         worker = SimulatedWorker(WorkerSpec("w"))
         worker.submit_job(0.0, WorkerJob("a", 10.0, idempotency_key="k", deduplication_window_ms=100.0))
         worker.advance_to(10.0)
@@ -347,7 +358,7 @@
         )
         self.assertEqual(worker.work_totals.done, 10.0)
 
-    def test_repeatable_work_gives_way_and_goes_on(self) -> None:
+    def test_a_repeatable_job_is_preempted_and_resumed(self) -> None:
         worker = SimulatedWorker(WorkerSpec("w", slots=1, cores=1.0, preempts=True))
         worker.submit_job(0.0, WorkerJob("low", 100.0))
         self.assertEqual(worker.submit_job(30.0, WorkerJob("high", 10.0, priority=1)), [JobBegan("high")])
@@ -357,20 +368,23 @@
         worker.submit_job(111.0, WorkerJob("once", 100.0, is_repeatable=False))
         self.assertEqual(worker.submit_job(112.0, WorkerJob("other", 1.0, priority=1)), [])
 
-    def test_arrivals_follow_the_days_shape_and_a_flood(self) -> None:
+    def test_arrivals_follow_the_daily_swing(self) -> None:
         clients = ClientModel(
-            LoadSpec(1000.0, daily_swing=0.5, day_ms=10_000.0), CLASSES, plan().tenants, RandomStreams(4)
+            LoadSpec(1000.0, daily_swing=0.5, day_ms=10_000.0),
+            CLASSES,
+            fleet_plan().tenants,
+            RandomStreams(4),
         )
-        times = []
-        while (wanted := clients.next_request()).arrives_at_ms < 10_000.0:
-            times.append(wanted.arrives_at_ms)
-        counts = np.histogram(times, bins=10, range=(0, 10_000.0))[0]
-        self.assertLess(abs(len(times) - 10_000), 4 * 100)
-        middle = [clients.rate_at(at * 1000.0 + 500.0) for at in range(10)]
-        for count, rate in zip(counts, middle, strict=True):
-            self.assertLess(abs(count - rate), 5 * math.sqrt(rate))
-
-    def test_a_partition_stops_messages_both_ways(self) -> None:
+        arrivals_ms = []
+        while (request := clients.next_request()).arrives_at_ms < 10_000.0:
+            arrivals_ms.append(request.arrives_at_ms)
+        counts = np.histogram(arrivals_ms, bins=10, range=(0, 10_000.0))[0]
+        self.assertLess(abs(len(arrivals_ms) - 10_000), 4 * 100)
+        expected_counts = [clients.rate_at(second * 1000.0 + 500.0) for second in range(10)]
+        for count, expected in zip(counts, expected_counts, strict=True):
+            self.assertLess(abs(count - expected), 5 * math.sqrt(expected))
+
+    def test_a_partition_loses_messages_in_both_directions(self) -> None:
         network = NetworkModel(NetworkDelays(), RandomStreams(1))
         network.partition("a", "b")
         self.assertEqual(
