--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: killed ones go on and give the same, builds never mix, a comparison can be silent."""
+"""Experiments: interrupted runs continue with the same rows, builds never mix, comparisons of columns."""
 
 from __future__ import annotations
 
@@ -36,26 +36,28 @@
 """
 
 
-def figures(rows: list[dict]) -> list[dict]:
-    """What has to be the same each time: all but the measured cost."""
+def reproducible_rows(rows: list[dict]) -> list[dict]:
+    """Returns the rows without the measured cost, the only figure that differs between runs."""
     return [
         {**row, "row": {key: value for key, value in row["row"].items() if key != "decision_us"}}
         for row in rows
     ]
 
 
-class Matrix(unittest.TestCase):
+class ExperimentRuns(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
-        self.plan = self.folder / "plan.toml"
-        self.plan.write_text(PLAN)
+        self.plan_path = self.folder / "plan.toml"
+        self.plan_path.write_text(PLAN)
 
-    def test_a_killed_run_goes_on_and_gives_the_same_table(self) -> None:
-        whole = run_experiment(read_plan(self.plan), self.folder / "whole", 4, lambda there, of: None)
-        self.assertEqual(len(whole), 8)
-        broken = self.folder / "broken"
+    def test_a_killed_run_continues_and_gives_the_same_rows(self) -> None:
+        expected_rows = run_experiment(
+            read_plan(self.plan_path), self.folder / "whole", 4, lambda finished_count, cell_count: None
+        )
+        self.assertEqual(len(expected_rows), 8)
+        interrupted = self.folder / "interrupted"
         process = subprocess.Popen(
             [
                 sys.executable,
@@ -63,9 +65,9 @@
                 "spanwing",
                 "experiment",
                 "run",
-                str(self.plan),
+                str(self.plan_path),
                 "--out",
-                str(broken),
+                str(interrupted),
                 "--lanes",
                 "1",
             ],
@@ -74,41 +76,48 @@
             stdout=subprocess.DEVNULL,
             env={"PATH": os.environ["PATH"]},
         )
-        end = time.monotonic() + PATIENCE_S
-        while len(list(broken.glob("cells/*.json"))) < 2 and time.monotonic() < end:
+        give_up_at_s = time.monotonic() + PATIENCE_S
+        while len(list(interrupted.glob("cells/*.json"))) < 2 and time.monotonic() < give_up_at_s:
             time.sleep(0.01)
         os.killpg(process.pid, signal.SIGKILL)
         process.wait()
-        there = {each.name for each in broken.glob("cells/*.json")}
-        self.assertTrue(2 <= len(there) < 8, there)
-        before = {name: (broken / "cells" / name).stat().st_mtime_ns for name in there}
-        told: list[tuple[int, int]] = []
-        again = run_experiment(read_plan(self.plan), broken, 4, lambda done, of: told.append((done, of)))
-        self.assertEqual((told[0], told[-1]), ((len(there), 8), (8, 8)))
-        self.assertEqual(figures(again), figures(whole))
-        self.assertEqual({name: (broken / "cells" / name).stat().st_mtime_ns for name in there}, before)
-        self.assertIn("<svg", render_page("small", again))
-        write_parquet(again, self.folder / "rows.parquet")
+        finished = {each.name for each in interrupted.glob("cells/*.json")}
+        self.assertTrue(2 <= len(finished) < 8, finished)
+        written_at_ns = {name: (interrupted / "cells" / name).stat().st_mtime_ns for name in finished}
+        progress: list[tuple[int, int]] = []
+        rows = run_experiment(
+            read_plan(self.plan_path),
+            interrupted,
+            4,
+            lambda finished_count, cell_count: progress.append((finished_count, cell_count)),
+        )
+        self.assertEqual((progress[0], progress[-1]), ((len(finished), 8), (8, 8)))
+        self.assertEqual(reproducible_rows(rows), reproducible_rows(expected_rows))
+        self.assertEqual(
+            {name: (interrupted / "cells" / name).stat().st_mtime_ns for name in finished}, written_at_ns
+        )
+        self.assertIn("<svg", render_page("small", rows))
+        write_parquet(rows, self.folder / "rows.parquet")
         import pyarrow.parquet as pq
 
         self.assertEqual(pq.read_table(self.folder / "rows.parquet").num_rows, 8)
 
-    def test_builds_do_not_mix(self) -> None:
-        wanted = list(list_cells(read_plan(self.plan), self.folder))
-        self.assertEqual(len({each.digest for each in wanted}), 8)
-        here = prepare_build("here", self.folder)
+    def test_cells_and_builds_have_digests_of_their_own(self) -> None:
+        cells = list(list_cells(read_plan(self.plan_path), self.folder))
+        self.assertEqual(len({each.digest for each in cells}), 8)
+        current_build = prepare_build("here", self.folder)
         copy = self.folder / "copy"
         for name in ("spanwing", "spanwing/simulation", "spanwing/experiment"):
             (copy / name).mkdir(parents=True)
             for each in (ROOT / name).glob("*.py"):
                 (copy / name / each.name).write_bytes(each.read_bytes())
-        self.assertEqual(source_digest(copy), here.digest)
+        self.assertEqual(source_digest(copy), current_build.digest)
         with open(copy / "spanwing" / "scheduler.py", "a") as file:
             file.write("\n# another build\n")
-        self.assertNotEqual(source_digest(copy), here.digest)
+        self.assertNotEqual(source_digest(copy), current_build.digest)
 
-    def test_bad_plans_are_refused_in_one_line(self) -> None:
-        for old, new, word in (
+    def test_invalid_plans_are_rejected_with_an_error_of_one_line(self) -> None:
+        for old, new, expected_text in (
             ('name = "small"', 'name = "a b"', "name"),
             ('"calm-day"', '"no-day"', "no-day"),
             ("seeds = 2", "seeds = 0", "seeds"),
@@ -118,46 +127,51 @@
             ("seconds = 6\n", 'seconds = "six"\n', "seconds"),
             ("seeds = 2", 'builds = ["-"]', "builds"),
         ):
-            self.plan.write_text(PLAN.replace(old, new))
-            with self.assertRaisesRegex(ConfigurationError, word) as caught:
-                list(list_cells(read_plan(self.plan), self.folder))
+            self.plan_path.write_text(PLAN.replace(old, new))
+            with self.assertRaisesRegex(ConfigurationError, expected_text) as caught:
+                list(list_cells(read_plan(self.plan_path), self.folder))
             self.assertNotIn("\n", str(caught.exception))
 
-    def test_changes_reach_their_place(self) -> None:
-        day = load_scenario("calm-day", ErrorCollector())
-        made = apply_changes(day, {"workers[1].speed": 0.5, "retries.most": 4, "seconds": 10})
-        self.assertEqual((made.workers[1].speed, made.retries.max_retries, made.seconds), (0.5, 4, 10))
-        self.assertEqual((made.workers[0], made.classes), (day.workers[0], day.classes))
+    def test_changes_apply_to_the_named_settings_only(self) -> None:
+        scenario = load_scenario("calm-day", ErrorCollector())
+        changed = apply_changes(scenario, {"workers[1].speed": 0.5, "retries.most": 4, "seconds": 10})
+        self.assertEqual(
+            (changed.workers[1].speed, changed.retries.max_retries, changed.seconds), (0.5, 4, 10)
+        )
+        self.assertEqual((changed.workers[0], changed.classes), (scenario.workers[0], scenario.classes))
 
 
 class Comparisons(unittest.TestCase):
-    def test_the_same_twice_is_no_difference(self) -> None:
+    def test_equal_values_and_too_few_pairs_are_no_difference(self) -> None:
         values = np.random.default_rng(1).normal(size=30)
         self.assertEqual(compare_paired("x", values, values).verdict, "no difference seen")
         self.assertEqual(compare_paired("x", values[:4], values[:4] + 1).verdict, "too few pairs")
 
-    def test_a_difference_is_seen_in_pairs_that_noise_would_hide(self) -> None:
-        source = np.random.default_rng(2)
-        seeds = source.normal(scale=5.0, size=20)
-        found = compare_paired("x", seeds, seeds - 0.3 + source.normal(scale=0.1, size=20))
-        self.assertEqual(found.verdict, "lower")
-        self.assertTrue(found.interval_low < -0.3 < found.interval_high)
+    def test_pairing_reveals_a_difference_that_is_small_against_the_noise(self) -> None:
+        generator = np.random.default_rng(2)
+        values = generator.normal(scale=5.0, size=20)
+        difference = compare_paired("x", values, values - 0.3 + generator.normal(scale=0.1, size=20))
+        self.assertEqual(difference.verdict, "lower")
+        self.assertTrue(difference.interval_low < -0.3 < difference.interval_high)
 
-    def test_no_difference_is_wrongly_seen_about_as_often_as_stated(self) -> None:
-        source, wrong = np.random.default_rng(3), 0
+    def test_false_differences_are_as_rare_as_the_confidence_level_states(self) -> None:
+        generator, false_count = np.random.default_rng(3), 0
         for _ in range(200):
-            seen = compare_paired("x", source.normal(size=20), source.normal(size=20)).verdict
-            wrong += seen != "no difference seen"
-        self.assertTrue(2 <= wrong <= 28, wrong)  # 5% of 200, and what small samples add
+            verdict = compare_paired("x", generator.normal(size=20), generator.normal(size=20)).verdict
+            false_count += verdict != "no difference seen"
+        self.assertTrue(2 <= false_count <= 28, false_count)  # 5% of 200, and more as samples are small
 
-    def test_only_pairs_count(self) -> None:
+    def test_rows_without_a_pair_are_left_out(self) -> None:
         rows = [
             {"scenario": "s", "seed": seed, "variant": variant, "row": {"x": float(seed)}}
             for variant, seeds in (("a", range(6)), ("b", range(2, 9)))
             for seed in seeds
         ]
-        found = compare_columns(rows, {"variant": "a"}, {"variant": "b"}, ["x"])[0]
-        self.assertEqual((found.pair_count, found.mean_difference, json.dumps(found.mean_a)), (4, 0.0, "3.5"))
+        difference = compare_columns(rows, {"variant": "a"}, {"variant": "b"}, ["x"])[0]
+        self.assertEqual(
+            (difference.pair_count, difference.mean_difference, json.dumps(difference.mean_a)),
+            (4, 0.0, "3.5"),
+        )
 
 
 if __name__ == "__main__":
