--- a/spanwing/experiment/matrix.py
+++ b/spanwing/experiment/matrix.py
@@ -75,7 +75,7 @@
 
 
 def source_digest(folder: Path) -> str:
-    """Computes a digest of all source code that a row can depend on."""
+    """Computes a digest of the modules of spanwing, spanwing.simulation and spanwing.experiment."""
     digest = hashlib.blake2b(digest_size=10)
     for name in ("spanwing", "spanwing/simulation", "spanwing/experiment"):
         for each in sorted((folder / name).glob("*.py")):
--- a/spanwing/experiment/report.py
+++ b/spanwing/experiment/report.py
@@ -101,9 +101,8 @@
     figure = Figure((width, height), layout="constrained")
     draw(figure)
     out = io.StringIO()
-    with matplotlib.rc_context(
-        {"svg.hashsalt": "spanwing"}
-    ):  # fixed ids, so that the same rows give the same page
+    # With a fixed salt and no date the same rows give the same page.
+    with matplotlib.rc_context({"svg.hashsalt": "spanwing"}):
         figure.savefig(out, format="svg", metadata={"Date": None})
     return out.getvalue().partition("<svg")[1] + out.getvalue().partition("<svg")[2]
 
--- a/spanwing/simulation/clients.py
+++ b/spanwing/simulation/clients.py
@@ -3,7 +3,7 @@
 Does no I/O and reads no clock. Arrivals are a Poisson process whose rate varies over the day (thinning,
 Lewis and Shedler 1979). Clients do not wait for earlier answers (open loop), so a slow scheduler does not
 reduce the load. Each property of a request has its own random stream, so the work of the nth request does
-not depend on what happens to the others.
+not depend on what happens to other requests.
 """
 
 from __future__ import annotations
@@ -75,7 +75,9 @@
         delay_ms = {"at once": 0.0, "fixed": self.base_backoff_ms, "exponential": exponential_ms}[
             self.backoff
         ]
-        if self.has_jitter:  # spreads the retries of clients that were rejected together
+        if self.has_jitter:
+            # Full jitter for exponential backoff, 50% to 150% of the delay otherwise, so that clients that
+            # were rejected together do not retry together.
             delay_ms *= jitter_draw if self.backoff == "exponential" else 0.5 + jitter_draw
         return max(delay_ms, retry_after_ms) if honours_retry_after else delay_ms
 
@@ -233,12 +235,12 @@
 
 
 def _work_distribution(class_spec: ClassSpec, stream: np.random.Generator):
-    """Returns a function that draws a batch of a class's work, in ms at speed 1."""
+    """Returns a function that draws work, in ms at speed 1, with a class's mean and variation."""
     if class_spec.distribution == "fixed" or class_spec.work_cv == 0:
         return lambda count: np.full(count, class_spec.mean_work_ms)
     if class_spec.distribution == "lognormal":
         sigma = math.sqrt(math.log1p(class_spec.work_cv**2))
         return lambda count: class_spec.mean_work_ms * stream.lognormal(-sigma * sigma / 2, sigma, count)
-    # `exp` with a coefficient of variation other than 1 is a gamma distribution of that variation.
+    # `exp` is a gamma distribution, which is exponential at a coefficient of variation of 1.
     shape = 1.0 / class_spec.work_cv**2
     return lambda count: stream.gamma(shape, class_spec.mean_work_ms / shape, count)
--- a/spanwing/simulation/fleet.py
+++ b/spanwing/simulation/fleet.py
@@ -33,6 +33,7 @@
 PROBE_TIMEOUT_MS = 500.0
 FIRST_POLL_DELAY_MS = 500.0  # from a scheduler's restart to its first poll of discovery
 RUN_OUT_MS = 10_000.0  # simulated beyond the last deadline, so that all requests end
+#: The result of an attempt by the result of its job at the worker.
 RESULT_BY_JOB_RESULT: dict[str, api.Result] = {
     "ok": "ok",
     "error": "error",
@@ -53,10 +54,8 @@
     retries: RetrySpec = RetrySpec()
     network_delays: NetworkDelays = NetworkDelays()
     make_settings: Callable[[int, str], api.Settings] | None = None  # from a scheduler's index and zone
-    discovery_lag_ms: tuple[float, float] = (
-        20.0,
-        120.0,
-    )  # bounds of the time until a scheduler learns of a change
+    #: Bounds of the time until a scheduler learns of a change in discovery.
+    discovery_lag_ms: tuple[float, float] = (20.0, 120.0)
     decision_ms: float = 0.0  # CPU time of a scheduler for each message that it receives
     scheduler_loss_notice_ms: float = 1000.0  # until the load balancer stops using a stopped scheduler
     load_report_interval_ms: float = 25.0  # maximum age of a load report
@@ -233,7 +232,7 @@
             self.event_queue.schedule_at(generated.arrives_at_ms, self._start_request, generated, day_end_ms)
 
     def _start_request(self, generated: GeneratedRequest, day_end_ms: float) -> None:
-        """Submits a request that arrives now, and schedules the next arrival."""
+        """Starts and submits a request at its arrival, and schedules the next arrival."""
         self._schedule_arrival(self.clients.next_request(), day_end_ms)
         self.accounting.add_request(generated.id)
         client_request = self.client_requests[generated.id] = ClientRequestState(generated)
@@ -252,7 +251,7 @@
         if not self.schedulers_believed_up:
             self._finish_request(request_id, "lost")
             return
-        # Requests go to the schedulers of the client's zone while the load balancer believes that one is up.
+        # The load balancer prefers the schedulers of the client's zone while it believes that one is up.
         candidates = [
             each for each in self.schedulers_believed_up if each.zone == client_request.generated.zone
         ] or self.schedulers_believed_up
@@ -324,6 +323,7 @@
     def _receive_answer(
         self, request_id: str, submission_number: int, outcome: str, retry_after_ms: float
     ) -> None:
+        """Handles an answer at the client: retries or ends the request."""
         if outcome == "refused":
             self._handle_rejection(request_id, submission_number, retry_after_ms)
         elif request_id in self.client_requests:
@@ -365,13 +365,13 @@
         client_request = self.client_requests.pop(request_id)
         client_request.departure.cancel()
         self.accounting.set_stage(request_id, "over")
-        generated, now = client_request.generated, self.event_queue.now_ms
+        generated, now_ms = client_request.generated, self.event_queue.now_ms
         answered = AnsweredRequest(
             generated.arrives_at_ms,
             generated.class_spec.name,
             generated.tenant,
             outcome,
-            now - generated.arrives_at_ms,
+            now_ms - generated.arrives_at_ms,
             client_request.submission_count,
             client_request.attempt_count,
             generated.work_ms,
@@ -479,7 +479,7 @@
         worker_id: int,
         result: api.Result,
     ) -> None:
-        """Cancels an attempt. It ends after a round trip to the worker, or now if that does not answer."""
+        """Cancels an attempt. It ends after a round trip to the worker, or at once if it cannot answer."""
         host = self.worker_hosts.get(worker_id)
         delay_ms = (
             None if host is None else self.network.message_delay_ms(scheduler.zone, host.worker.spec.zone)
--- a/spanwing/simulation/worker.py
+++ b/spanwing/simulation/worker.py
@@ -1,4 +1,4 @@
-"""Simulates a worker: cores, slots, a queue, memory, slow start, and a crash under overload.
+"""Simulates a worker: cores, slots, a queue, memory, slow start, and a crash by overload during slow start.
 
 Does no I/O and reads no clock. Every submitted job ends in exactly one JobEnded, or in none if the worker is
 silent or goes down (lost_attempts() then returns the jobs that it had accepted). Work is conserved: the work
@@ -44,15 +44,15 @@
     preempts: bool = False  # suspends repeatable jobs for jobs of a higher priority, and resumes them later
     initial_capacity: float = 1.0  # fraction of the capacity that is available at the start
     slow_start_ms: float = 0.0  # time until the full capacity is available
-    overload_multiple: float = math.inf  # a load ratio above this for overload_window_ms stops the worker
-    overload_window_ms: float = 0.0
+    overload_multiple: float = math.inf  # a load ratio above this stops a worker that is warming up ...
+    overload_window_ms: float = 0.0  # ... if it lasts this long
 
 
 class WorkerJob(NamedTuple):
     """One attempt as submitted to a worker."""
 
     attempt_key: str
-    work_ms: float  # ms at speed 1
+    work_ms: float  # at speed 1
     slots: int = 1
     memory: float = 0.0
     priority: int = 0  # higher values run first
@@ -162,11 +162,8 @@
         if self.fails_fast:
             return [*events, JobEnded(job.attempt_key, "error")]
         if job.idempotency_key and self.deduplicated_until.get(job.idempotency_key, -math.inf) > now_ms:
-            return [
-                *events,
-                JobBegan(job.attempt_key),
-                JobEnded(job.attempt_key, "ok"),
-            ]  # a repeat within the deduplication window is not run again
+            # A repeat within the deduplication window succeeds without being run again.
+            return [*events, JobBegan(job.attempt_key), JobEnded(job.attempt_key, "ok")]
         if len(self.queued_jobs) >= self.spec.queue_length and not self._fits(job):
             return [*events, JobEnded(job.attempt_key, "full")]
         self.arrival_count += 1
--- a/spanwing/simulation/zone_fleet.py
+++ b/spanwing/simulation/zone_fleet.py
@@ -32,8 +32,8 @@
 from spanwing.zones.unreachable_work import ZoneUnreachable
 
 LEASE_MS, STORE_MEMBER_COUNT = 2000.0, 3
-# How often the leader evaluates the zones, how long a stopped leader is missed, and how often a follower
-# checks its lease and looks for zones that its requests cannot reach.
+# The leader evaluates the zones at LEADER_INTERVAL_MS; a stopped leader is replaced after TAKEOVER_DELAY_MS.
+# The other two are the intervals at which a follower checks its lease and looks for unused zones.
 LEADER_INTERVAL_MS, TAKEOVER_DELAY_MS, LEASE_CHECK_INTERVAL_MS, UNREACHABLE_CHECK_INTERVAL_MS = (
     25.0,
     1500.0,
@@ -41,8 +41,9 @@
     250.0,
 )
 LIST_REFRESH_INTERVAL_MS = 1000.0
-# The time from a renewal's answer to the next renewal, until an unanswered renewal is repeated, from probes
-# to the renewal that reports their results, and within which attempts in a zone that is left are cancelled.
+# A renewal follows the reply to the previous one after MIN_RENEWAL_INTERVAL_MS, an unanswered one after
+# ANSWER_TIMEOUT_MS, and probes after EVIDENCE_DELAY_MS, to report their results. Attempts in a zone that is
+# left are cancelled at random times within MAX_CANCEL_DELAY_MS.
 MIN_RENEWAL_INTERVAL_MS, ANSWER_TIMEOUT_MS, EVIDENCE_DELAY_MS, MAX_CANCEL_DELAY_MS = (
     100.0,
     1200.0,
@@ -87,13 +88,15 @@
 
     def may_forward(self, worker_id: int) -> bool:
         """Returns whether the routing filter permits an attempt to this worker now."""
-        now = self.event_queue.now_ms
-        return self.zone_agent.routing_filter.may_forward(worker_id, now, self.lease.is_valid(now), now)
+        now_ms = self.event_queue.now_ms
+        return self.zone_agent.routing_filter.may_forward(
+            worker_id, now_ms, self.lease.is_valid(now_ms), now_ms
+        )
 
     def filter_workers(self, endpoint_list: api.WorkerList) -> api.WorkerList:
         """Returns the endpoint list as the decision module is to see it."""
-        now = self.event_queue.now_ms
-        return self.zone_agent.filter_workers(endpoint_list, now, now, self.lease.is_valid(now))
+        now_ms = self.event_queue.now_ms
+        return self.zone_agent.filter_workers(endpoint_list, now_ms, now_ms, self.lease.is_valid(now_ms))
 
     def attempt_sent(self, worker_id: int, attempt: tuple[str, int]) -> None:
         """Records that an attempt was forwarded."""
@@ -120,21 +123,21 @@
         if worker_ids:
             self.event_queue.schedule_after(EVIDENCE_DELAY_MS, self._send_renewal)
 
-    # -- messages
+    # -- renewals
 
     def _send_renewal(self) -> None:
         """Sends a renewal of the lease with the current evidence to the leader."""
         if not self.scheduler.is_up:
             return
         self.last_renewal_number += 1
-        renewal_number, now, decision_module = (
+        renewal_number, now_ms, decision_module = (
             self.last_renewal_number,
             self.event_queue.now_ms,
             self.scheduler.decision_module,
         )
-        self.lease.record_renewal(renewal_number, now)
+        self.lease.record_renewal(renewal_number, now_ms)
         evidence = msgspec.json.encode(
-            self.zone_agent.build_evidence_report(now, decision_module.worker_states.values(), now)
+            self.zone_agent.build_evidence_report(now_ms, decision_module.worker_states.values(), now_ms)
         )
         message = Renew(
             renewal_number,
@@ -163,11 +166,11 @@
             self._handle_document_change()
         if reply.zones_to_probe:
             self._probe_workers(self.zone_agent.choose_workers_to_probe(reply.zones_to_probe))
-            now = self.event_queue.now_ms
+            now_ms = self.event_queue.now_ms
             trial.start_trials(
                 self.scheduler.decision_module,
-                self.zone_agent.choose_trial_workers(now, reply.zones_to_probe),
-                now,
+                self.zone_agent.choose_trial_workers(now_ms, reply.zones_to_probe),
+                now_ms,
             )
         if reply.message_id == self.last_renewal_number and reply.message_id > self.last_answered_renewal:
             self.last_answered_renewal = reply.message_id
@@ -177,12 +180,12 @@
 
     def _handle_document_change(self) -> None:
         """Applies the zones of a changed document, and cancels attempts in zones that are being left."""
-        previous_zones, fleet_zones, now = (
+        previous_zones, fleet_zones, now_ms = (
             self.zone_agent.fleet,
             read_fleet_zones(self.document),
             self.event_queue.now_ms,
         )
-        self.zone_agent.routing_filter.update_zones(fleet_zones, now, now)
+        self.zone_agent.routing_filter.update_zones(fleet_zones, now_ms, now_ms)
         self._update_endpoints()
         for name, zone in fleet_zones.zones.items():
             if zone.state == "leaving" and (
@@ -202,12 +205,12 @@
 
     def _update_endpoints(self) -> None:
         """Passes the workers whose permission has changed to the decision module."""
-        now = self.event_queue.now_ms
+        now_ms = self.event_queue.now_ms
         self.had_lease, self.next_change_ms = (
-            self.lease.is_valid(now),
-            self.zone_agent.routing_filter.next_change_ms(now),
+            self.lease.is_valid(now_ms),
+            self.zone_agent.routing_filter.next_change_ms(now_ms),
         )
-        changed_workers = self.zone_agent.changed_workers(now, self.had_lease)
+        changed_workers = self.zone_agent.changed_workers(now_ms, self.had_lease)
         if changed_workers:
             self.scheduler.handle_event(api.WorkerList("partial", tuple(changed_workers)))
             self.zone_agent.restart_concurrency_limits(self.scheduler.decision_module)
@@ -216,11 +219,11 @@
         """Reacts to a gained or lost lease, to changes that are due, and to zones that became unused."""
         if not self.scheduler.is_up:
             return
-        now = self.event_queue.now_ms
-        if self.lease.is_valid(now) != self.had_lease or now >= self.next_change_ms:
+        now_ms = self.event_queue.now_ms
+        if self.lease.is_valid(now_ms) != self.had_lease or now_ms >= self.next_change_ms:
             self._update_endpoints()
-        if self.had_lease and now >= self.unreachable_checked_at_ms + UNREACHABLE_CHECK_INTERVAL_MS:
-            self.unreachable_checked_at_ms = now
+        if self.had_lease and now_ms >= self.unreachable_checked_at_ms + UNREACHABLE_CHECK_INTERVAL_MS:
+            self.unreachable_checked_at_ms = now_ms
             for name in self.zone_agent.unused_zones():
                 self.scheduler.handle_event(ZoneUnreachable(name))
         self.event_queue.schedule_after(LEASE_CHECK_INTERVAL_MS, self._check_lease)
@@ -264,26 +267,28 @@
         self.lease = self.standalone.lease
 
     def _listed_workers(self) -> dict[str, list[ListedWorker]]:
+        """Returns the workers that this scheduler knows, by zone."""
         return listed_workers(self.zone_agent, self.event_queue.now_ms, self.scheduler.settings.slow_start_ms)
 
     def _send_renewal(self) -> None:
         """Evaluates the scheduler's own evidence instead of sending it to a leader."""
         if not self.scheduler.is_up:
             return
-        now, decision_module = self.event_queue.now_ms, self.scheduler.decision_module
+        now_ms, decision_module = self.event_queue.now_ms, self.scheduler.decision_module
         evidence = msgspec.json.encode(
-            self.zone_agent.build_evidence_report(now, decision_module.worker_states.values(), now)
+            self.zone_agent.build_evidence_report(now_ms, decision_module.worker_states.values(), now_ms)
         )
         previous_zones = read_fleet_zones(self.document)
-        if self.standalone.evaluate(now, evidence):
+        if self.standalone.evaluate(now_ms, evidence):
             self.document = self.standalone.document
-            self.simulation.record_zone_changes(now, previous_zones, read_fleet_zones(self.document))
+            self.simulation.record_zone_changes(now_ms, previous_zones, read_fleet_zones(self.document))
             self._handle_document_change()
         if self.standalone.zones_to_probe:
             self._probe_workers(self.zone_agent.choose_workers_to_probe(self.standalone.zones_to_probe))
         self.event_queue.schedule_after(STANDALONE_INTERVAL_MS, self._send_renewal)
 
     def _probe_workers(self, worker_ids: list[int]) -> None:
+        """Probes workers; the next periodic evaluation uses the results."""
         for each in worker_ids:
             self.scheduler.send_probe(each)
 
@@ -386,6 +391,7 @@
         )
 
     def _make_controller(self, scheduler: SimulatedScheduler) -> ZoneController:
+        """Creates the zone controller of a store member."""
         settings, name = scheduler.settings, scheduler.name
         limits = ZoneLimits(
             settings.overload_window_ms + MAX_TRANSIT_MS,
@@ -409,44 +415,46 @@
         self.event_queue.schedule_after(LIST_REFRESH_INTERVAL_MS, self._refresh_worker_lists)
 
     def _first_member_up(self) -> SimulatedScheduler | None:
+        """Returns the first store member that is up, or None."""
         return next((each for each in self.schedulers[:STORE_MEMBER_COUNT] if each.is_up), None)
 
     def _start_leading(self) -> None:
         """Makes the first store member that is up the leader, or retries after TAKEOVER_DELAY_MS."""
-        scheduler, now = self._first_member_up(), self.event_queue.now_ms
+        scheduler, now_ms = self._first_member_up(), self.event_queue.now_ms
         if scheduler is None:
             self.event_queue.schedule_after(TAKEOVER_DELAY_MS, self._start_leading)
             return
         self.leader_name = scheduler.name
         self.leader = Leader(
-            scheduler.name, LEASE_MS, self.controllers[scheduler.name], now, self.random_source.random
+            scheduler.name, LEASE_MS, self.controllers[scheduler.name], now_ms, self.random_source.random
         )
         leadership = msgspec.json.encode(Leadership(scheduler.name, self.document.revision)).decode()
-        transaction = self.leader.takeover_transaction(now, f"{self.random_source.random()}")
+        transaction = self.leader.takeover_transaction(now_ms, f"{self.random_source.random()}")
         self.document = self.document.apply(
             msgspec.structs.replace(transaction, writes={LEADERSHIP_KEY: leadership}, expected_revisions={})
         )
-        self.leader.handle_change(now, self.document)
+        self.leader.handle_change(now_ms, self.document)
         self._run_leader(scheduler)
 
     def _run_leader(self, scheduler: SimulatedScheduler) -> None:
         """Makes the leader's decisions that are due; repeats until its scheduler stops."""
-        now = self.event_queue.now_ms
+        now_ms = self.event_queue.now_ms
         if not scheduler.is_up:
             self.leader = None
             self.event_queue.schedule_after(TAKEOVER_DELAY_MS, self._start_leading)
             return
         leader = self.leader
-        leader.handle_read(now, now, self.document)
-        transaction = leader.controller.decide_next_change(now, self.document, leader)
+        leader.handle_read(now_ms, now_ms, self.document)
+        transaction = leader.controller.decide_next_change(now_ms, self.document, leader)
         if transaction is not None:
             previous_zones, self.document = read_fleet_zones(self.document), self.document.apply(transaction)
-            self.zone_changes += zone_state_changes(now, previous_zones, read_fleet_zones(self.document))
-            leader.handle_change(now, self.document)
-        leader.answer_due_renewals(now)
+            self.zone_changes += zone_state_changes(now_ms, previous_zones, read_fleet_zones(self.document))
+            leader.handle_change(now_ms, self.document)
+        leader.answer_due_renewals(now_ms)
         self.event_queue.schedule_after(LEADER_INTERVAL_MS, self._run_leader, scheduler)
 
     def _listed_workers(self, name: str) -> dict[str, list[ListedWorker]]:
+        """Returns the workers that the scheduler of this name knows, by zone."""
         follower = self.followers[name]
         return listed_workers(
             follower.zone_agent, self.event_queue.now_ms, follower.scheduler.settings.slow_start_ms
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -27,7 +27,7 @@
 
 
 class StallingServer:
-    """Answers requests at once, except during one stall, after which it answers those that came in it."""
+    """Answers requests at once, except during one stall, in which each connection stops after one request."""
 
     def __init__(self, stall_begin_s: float, stall_s: float) -> None:
         self.stall_begin_s, self.stall_s, self.request_count = stall_begin_s, stall_s, 0
@@ -78,9 +78,8 @@
         async def run():
             server = StallingServer(0.0, 0.0)
             endpoint = await server.start()
-            asyncio.get_running_loop().call_later(
-                0.5, time.sleep, 0.4
-            )  # blocks the event loop of the generator
+            # Blocks the event loop of the generator, as a busy core would.
+            asyncio.get_running_loop().call_later(0.5, time.sleep, 0.4)
             report = await OpenLoopGenerator([endpoint], "x").run(generated_requests(100.0), 2.0)
             server.server.close()
             return report
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -103,9 +103,8 @@
         ]
         scenario = read_scenario()
         fleet = FleetSimulation(scenario.build_plan(1), 1)
-        FaultInjector(
-            fleet, (*faults, *faults), scenario.day_ms
-        )  # each fault twice, as overlapping faults are counted
+        # Each fault is injected twice: the end of one must not undo the other.
+        FaultInjector(fleet, (*faults, *faults), scenario.day_ms)
         fleet.event_queue.run_until(3000.0)
         workers = [host.worker for host in fleet.worker_hosts.values()]
         affected_counts = (
