--- a/measure/zoneday.py
+++ b/measure/zoneday.py
@@ -126,16 +126,16 @@
 def play(scenario: str, seed: int, way: str = "none", times: int = 1) -> dict[str, Any]:
     """One day; times: so many times the schedulers, the workers and the jobs."""
     text = (resources.files("spanwing.simulation") / "scenarios" / f"{scenario}.toml").read_bytes()
-    day = msgspec.structs.replace(parse_scenario(text, ErrorCollector()), times=times)
-    loss = next((each for each in day.faults if each.what == "zone_lost"), None)
+    day = msgspec.structs.replace(parse_scenario(text, ErrorCollector()), size_multiple=times)
+    loss = next((each for each in day.faults if each.fault_kind == "zone_lost"), None)
     zone, lost, back = "", day.day_ms, day.day_ms  # a day on which no zone may be left
     if loss is not None:
-        zone, lost, back = loss.zone, loss.at * 1000.0, (loss.at + loss.lasts) * 1000.0
+        zone, lost, back = loss.zone, loss.begin_s * 1000.0, (loss.begin_s + loss.duration_s) * 1000.0
     plan = day.build_plan(seed)
     fates, aims = Counter[str](), {each.name: each for each in plan.classes}
 
     def told(answered: AnsweredRequest) -> None:
-        if lost <= answered.asked_at_ms < back + AFTER_S * 1000.0:
+        if lost <= answered.arrived_at_ms < back + AFTER_S * 1000.0:
             cls, fate = aims[answered.class_name], answered.outcome
             if fate == "served":
                 fate = (
@@ -181,7 +181,7 @@
         "open_ms": next((at - back for at, state in mine if state == "open"), None),
         "left": sum(state == "leaving" for _, _, state, _ in fleet.zone_changes),
         "false_alarms": others,
-        "messages_s": getattr(fleet, "messages", 0) / (fleet.event_queue.now_ms / 1000.0),
+        "messages_s": getattr(fleet, "renewal_count", 0) / (fleet.event_queue.now_ms / 1000.0),
         "bytes_s": getattr(fleet, "bytes", 0) / (fleet.event_queue.now_ms / 1000.0),
     }
 
