--- a/spanwing/frontends/balancers/health_reporter.py
+++ b/spanwing/frontends/balancers/health_reporter.py
@@ -226,7 +226,7 @@
     def _publish(self, verdict: HealthVerdict) -> None:
         self._update_frontends()
         previous, self.announced_verdict = self.announced_verdict, verdict
-        if verdict.announced == previous.announced:
+        if verdict.published_fields == previous.published_fields:
             return
         if verdict.state != previous.state:
             log_event(
--- a/spanwing/health/state_machine.py
+++ b/spanwing/health/state_machine.py
@@ -40,7 +40,7 @@
         return self.reasons[0] if self.reasons else ""
 
     @property
-    def announced(self) -> tuple[HealthState, int, tuple[tuple[str, str], ...]]:
+    def published_fields(self) -> tuple[HealthState, int, tuple[tuple[str, str], ...]]:
         """The part that protocols report; the figures within reasons change with every sample."""
         return self.state, self.weight, self.classes
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -168,7 +168,7 @@
         run = Run()
         full = run.go(5.0, CALM._replace(client_connections=ResourceUsage(100, 100)))
         other = run.go(5.0, CALM._replace(memory_mb=ResourceUsage(192, 192)))
-        self.assertEqual((full.announced, "table" in full.reason), (other.announced, True))
+        self.assertEqual((full.published_fields, "table" in full.reason), (other.published_fields, True))
         self.assertIn("memory", other.reason)
 
     def test_sigterm_is_never_withdrawn_and_two_sources_both_count(self) -> None:
