--- a/spanwing/hot_restart/hot_restart.py
+++ b/spanwing/hot_restart/hot_restart.py
@@ -344,7 +344,7 @@
         """
         self.is_draining = True
         while self.has_transferred_state and (
-            self.server.table.connections or not self.context.core.is_idle() or self.successor.queue
+            self.server.table.connections or not self.context.core.is_idle() or self.successor.send_queue
         ):
             for each in list(self.server.table.connections):
                 self._transfer_connection(each)
--- a/spanwing/hot_restart/link.py
+++ b/spanwing/hot_restart/link.py
@@ -35,7 +35,7 @@
         self.sock, self.loop, self.is_open = sock, IOLoop.current(), True
         self.on_message: Callable[[HotRestartMessage, int | None], None] = lambda message, fd: None
         self.on_close: Callable[[], None] = lambda: None
-        self.queue: deque[tuple[bytes, int | None]] = deque()
+        self.send_queue: deque[tuple[bytes, int | None]] = deque()
         sock.setblocking(False)
         self.loop.add_handler(sock.fileno(), self._handle_events, IOLoop.READ)
 
@@ -45,22 +45,22 @@
         Closes the link if the message is longer than MAX_MESSAGE_BYTES or MAX_QUEUED_MESSAGES are queued.
         """
         data = encode_message(message)
-        if not self.is_open or len(data) > MAX_MESSAGE_BYTES or len(self.queue) >= MAX_QUEUED_MESSAGES:
+        if not self.is_open or len(data) > MAX_MESSAGE_BYTES or len(self.send_queue) >= MAX_QUEUED_MESSAGES:
             if fd is not None:
                 os.close(fd)
             if self.is_open:
                 self.close()
             return
-        self.queue.append((data, fd))
-        if len(self.queue) == 1:
+        self.send_queue.append((data, fd))
+        if len(self.send_queue) == 1:
             self._flush()
 
     def _flush(self) -> None:
         try:
-            while self.queue:
-                data, fd = self.queue[0]
+            while self.send_queue:
+                data, fd = self.send_queue[0]
                 socket.send_fds(self.sock, [data], [] if fd is None else [fd])
-                self.queue.popleft()
+                self.send_queue.popleft()
                 if fd is not None:
                     os.close(fd)
         except BlockingIOError:
@@ -68,7 +68,7 @@
         except OSError:
             self.close()
             return
-        self.loop.update_handler(self.sock.fileno(), IOLoop.READ | (IOLoop.WRITE if self.queue else 0))
+        self.loop.update_handler(self.sock.fileno(), IOLoop.READ | (IOLoop.WRITE if self.send_queue else 0))
 
     def _handle_events(self, _: int, events: int) -> None:
         if events & IOLoop.WRITE and self.is_open:
@@ -106,8 +106,8 @@
         self.is_open = False
         self.loop.remove_handler(self.sock.fileno())
         self.sock.close()
-        while self.queue:
-            _, fd = self.queue.popleft()
+        while self.send_queue:
+            _, fd = self.send_queue.popleft()
             if fd is not None:
                 os.close(fd)
         self.loop.add_callback(self.on_close)
