--- a/spanwing/health/cpu_meter.py
+++ b/spanwing/health/cpu_meter.py
@@ -25,7 +25,7 @@
     wall_s: float
     cpu_s: float  # of the whole process
     busy_s: float | None  # of the loop, outside its wait for input; None: not measured
-    late_s: float  # delay of the timer that took this reading
+    timer_delay_s: float  # delay of the timer that took this reading
 
 
 class CpuMeter:
@@ -50,10 +50,10 @@
             return CpuUsage()
         cpu = max(0.0, reading.cpu_s - oldest.cpu_s)
         used = cpu / (wall * self.cores)
-        lag_ms = 1000.0 * max(each.late_s for each in list(readings)[1:])
+        lag_ms = 1000.0 * max(each.timer_delay_s for each in list(readings)[1:])
         if reading.busy_s is None or oldest.busy_s is None:
             # Without the loop's busy time, late timers are the only sign of CPU wanted and not given.
-            waited_s = sum(each.late_s for each in list(readings)[1:])
+            waited_s = sum(each.timer_delay_s for each in list(readings)[1:])
             return CpuUsage(
                 used, min(1.0, max(used, (cpu + waited_s) / wall)), min(1.0, waited_s / wall), lag_ms
             )
