--- a/spanwing/hot_restart/__init__.py
+++ b/spanwing/hot_restart/__init__.py
@@ -1,1 +1,1 @@
-"""Hot restart: two processes act as one scheduler while one replaces the other."""
+"""Hot restart: one scheduler process replaces another without closing the listening socket."""
--- a/spanwing/hot_restart/hot_restart.py
+++ b/spanwing/hot_restart/hot_restart.py
@@ -1,12 +1,12 @@
 """Hot restart: one process replaces another on the same listening socket.
 
-For both sides: no wait for the other process is longer than ANSWER_TIMEOUT_S, so no start and no answer hangs
-on it; however the link ends, each side goes on as the only process.
+Neither process waits longer than ANSWER_TIMEOUT_S for the other, so a peer that hangs cannot block a start or
+an answer. When the link ends, for whatever reason, each process continues on its own.
 
-The predecessor accepts until its successor is ready, transfers all its estimates at that moment, feeds no
-worker that is warming up from then on, and never shuts the shared socket down. After SIGTERM its connections
-are transferred, each complete. Both processes together hold no more connections than one may: what the
-predecessor holds is deducted from the successor's limits.
+The predecessor accepts clients until its successor is ready. It then sends all its estimates and stops
+feeding workers that are warming up. It never shuts the shared socket down. After SIGTERM it transfers its
+connections, each with its complete state. Both processes together hold no more connections than the limit of
+one process: the connections of the predecessor are deducted from the limits of the successor.
 """
 
 from __future__ import annotations
@@ -65,14 +65,14 @@
 from spanwing.workers.connection_pool import DescriptorBudget
 from spanwing.workers.http_worker import HttpWorker, WorkerCallback
 
-ANSWER_TIMEOUT_S = 1.0  # a predecessor that has not answered by then counts as hung; its link is closed
-WATCH_RESUME_S = 0.2  # by the protocol, a watch continues another if it begins within this
-COUNTS_INTERVAL_S = 0.05  # between checks of the connection counts
-TRANSFER_INTERVAL_S = 0.005  # between checks of which connections can be transferred
+ANSWER_TIMEOUT_S = 1.0  # a predecessor that does not answer in time counts as hung, and its link is closed
+WATCH_RESUME_S = 0.2  # the discovery protocol lets a watch continue an earlier one that ended this recently
+COUNTS_INTERVAL_S = 0.05  # interval between checks of the connection counts
+TRANSFER_INTERVAL_S = 0.005  # interval between attempts to transfer the remaining connections
 
 
 class HotRestartContext(NamedTuple):
-    """The daemon's parts whose state is transferred."""
+    """The components of the daemon whose state is transferred."""
 
     core: RequestManager
     discovery_client: DiscoveryClient
@@ -80,7 +80,11 @@
 
 
 class HotRestart:
-    """Both roles of this process: successor of the process before it, predecessor of the next."""
+    """Both roles of a process: the successor of an earlier process and the predecessor of a later one.
+
+    divide_connections is called whenever the limits on connections have to be divided anew between the two
+    processes.
+    """
 
     def __init__(self, rendezvous: RendezvousSocket, divide_connections: Callable[[], None]) -> None:
         self.rendezvous, self.divide_connections = rendezvous, divide_connections
@@ -89,24 +93,26 @@
         self.predecessor: HotRestartLink | None = None  # the process that this one replaces
         self.successor: HotRestartLink | None = None  # the process that replaces this one
         self.predecessor_counts = ConnectionCounts(0, 0)  # connections that the predecessor holds
-        self.has_transferred_state = False  # the successor has the estimates
-        self.is_draining = self.is_finished = False  # finished: nothing is left here
-        self.peer_request_ids: set[str] = (
-            set()
-        )  # requests open at the other process: at most one for each of its connections
-        self.transferred_request_ids: set[str] = (
-            set()
-        )  # requests transferred to the successor, each with its client's connection
+        self.has_transferred_state = False  # whether the successor has received the estimates
+        self.is_draining = self.is_finished = False  # finished: all connections have been transferred
+        # Requests open in the other process; at most one for each of its connections.
+        self.peer_request_ids: set[str] = set()
+        # Requests transferred to the successor, each with its client's connection.
+        self.transferred_request_ids: set[str] = set()
         self.answer_received: Future[None] | None = None
+        # Received from the predecessor, and imported by take_over().
         self.members: list[DiscoveredWorker] = []
         self.worker_estimates: list[WorkerEstimates] = []
         self.scheduler_estimates: SchedulerEstimates | None = None
         self.stop_listening: Callable[[], None] | None = None
 
-    # As the successor.
+    # Methods of the successor.
 
     async def connect_to_predecessor(self) -> None:
-        """Connects to the predecessor, if there is one, and waits for its connection counts."""
+        """Connects to the predecessor, if there is one, and waits for its connection counts.
+
+        Waits at most ANSWER_TIMEOUT_S.
+        """
         link = self.rendezvous.connect()
         if link is None:
             return
@@ -116,7 +122,10 @@
         await self._wait_for_answer()
 
     async def take_over(self, context: HotRestartContext) -> None:
-        """Reports that this process is ready, and imports the predecessor's estimates."""
+        """Reports that this process is ready, and imports the predecessor's estimates.
+
+        Imports nothing if there is no predecessor, or if it does not answer within ANSWER_TIMEOUT_S.
+        """
         self._attach(context)
         if self.predecessor is None:
             return
@@ -128,24 +137,28 @@
             discovery_client.adopt_endpoints(
                 DiscoveredEndpoints(self.scheduler_estimates.revision or 0, True, self.members)
             )
-        while core.mailbox:  # the worker list has to be applied first
+        while core.mailbox:  # the estimates apply only to workers of the endpoint list that is queued here
             await sleep(0)
-        now = core.clock.now_ms()
-        import_scheduler(core.scheduler, self.scheduler_estimates, now)
-        for each in self.worker_estimates:
-            if each.worker_id in core.scheduler.worker_states:
-                import_worker(core.scheduler.worker_states[each.worker_id], each, now)
+        now_ms = core.clock.now_ms()
+        import_scheduler(core.scheduler, self.scheduler_estimates, now_ms)
+        for estimates in self.worker_estimates:
+            if estimates.worker_id in core.scheduler.worker_states:
+                import_worker(core.scheduler.worker_states[estimates.worker_id], estimates, now_ms)
         self.members, self.worker_estimates, self.scheduler_estimates = [], [], None
-        # The watch continues the predecessor's; the random delay spreads 200 schedulers restarted at once.
+        # The new watch continues the predecessor's. The random delay spreads the requests when 200 schedulers
+        # are restarted at once.
         discovery_client.loop.call_later(random.uniform(0.0, WATCH_RESUME_S), discovery_client.watch)
 
     def start_serving(self, server: HttpServer) -> None:
-        """Starts to accept clients and listens for a successor. Raises OSError."""
+        """Allows connections to be transferred to the server, and listens for a successor.
+
+        Raises OSError if the rendezvous socket cannot be opened.
+        """
         self.server = server
         self.stop_listening = self.rendezvous.listen(self._accept_successor)
 
     async def _wait_for_answer(self) -> bool:
-        """Returns whether the predecessor answered within ANSWER_TIMEOUT_S; if not, its link is closed."""
+        """Returns whether the predecessor answered within ANSWER_TIMEOUT_S; closes its link if not."""
         self.answer_received = Future()
         timer = IOLoop.current().call_later(ANSWER_TIMEOUT_S, self._handle_answer_timeout)
         await self.answer_received
@@ -169,7 +182,7 @@
         self.divide_connections()
 
     def _handle_predecessor_message(self, message: HotRestartMessage, fd: int | None) -> None:
-        if fd is not None and self.server is None:  # nothing is transferred before this process is ready
+        if fd is not None and self.server is None:  # a valid predecessor sends no connection before that
             os.close(fd)
             return
         if isinstance(message, TransferredConnection):
@@ -197,6 +210,11 @@
     def _adopt_connection(
         self, transferred: TransferredConnection, fd: int, pending: tuple[JobRequest, bool] | None = None
     ) -> ClientConnection:
+        """Continues a connection that the predecessor has transferred, and returns it.
+
+        pending is the request that is waiting for its answer on it, and whether the connection is kept alive
+        after the answer. The connection moves from the predecessor's share of the limit to this process's.
+        """
         sock = socket.socket(fileno=fd)
         self.predecessor_counts.client_connections = max(0, self.predecessor_counts.client_connections - 1)
         self.server.table.max_connections += 1
@@ -210,32 +228,37 @@
         )
 
     def _adopt_request(self, transferred: TransferredRequest, fd: int) -> None:
+        """Continues an open request of the predecessor, with its client's connection and open attempt."""
         core, request = self.context.core, transferred.request
         self.peer_request_ids.discard(request.id)
-        sender = self._adopt_connection(transferred.connection, fd, (request, transferred.keep_alive))
-        call, in_flight = (
-            PendingRequest(request, sender, transferred.deadline_ms, transferred.attempt_count),
+        connection = self._adopt_connection(transferred.connection, fd, (request, transferred.keep_alive))
+        pending_request, in_flight = (
+            PendingRequest(request, connection, transferred.deadline_ms, transferred.attempt_count),
             None,
         )
-        for number, each in enumerate(transferred.attempts):
-            if not each.is_open and not each.never_ran:
-                core.attempt_may_have_run(call, each.forwarded_ms)
-            if each.is_open:
+        for number, attempt in enumerate(transferred.attempts):
+            if not attempt.is_open and not attempt.never_ran:
+                core.attempt_may_have_run(pending_request, attempt.forwarded_ms)
+            if attempt.is_open:
                 worker_connection = self.context.discovery_client.get_or_create_worker(
                     transferred.worker_name, transferred.worker_address
                 )
-                budget = max(0.0, transferred.expires_ms - core.clock.now_ms())
+                budget_ms = max(0.0, transferred.expires_ms - core.clock.now_ms())
                 worker_connection.resume_attempt(
-                    DeliveryAttempt(request, number, budget, request.cls in core.safe_classes), core
+                    DeliveryAttempt(request, number, budget_ms, request.cls in core.safe_classes), core
                 )
                 in_flight = (
                     number,
                     InFlightAttempt(
-                        worker_connection, each.worker_id, each.forwarded_ms, transferred.expires_ms, None
+                        worker_connection,
+                        attempt.worker_id,
+                        attempt.forwarded_ms,
+                        transferred.expires_ms,
+                        None,
                     ),
                 )
         core.resume_request(
-            call,
+            pending_request,
             in_flight,
             RequestResumed(
                 api.Request(
@@ -256,10 +279,10 @@
             ),
         )
 
-    # As the predecessor.
+    # Methods of the predecessor.
 
     def _accept_successor(self, link: HotRestartLink) -> None:
-        if self.successor is not None or self.is_draining:  # one successor at a time
+        if self.successor is not None or self.is_draining:  # only one successor at a time
             link.close()
             return
         self.successor = link
@@ -280,13 +303,14 @@
             self._handle_common_message(message)
 
     def _transfer_state(self) -> None:
+        """Stops accepting and feeding; sends estimates, the endpoint list and the ids of open requests."""
         core, discovery_client, link = self.context.core, self.context.discovery_client, self.successor
         self.has_transferred_state = True
         self.server.set_accepting(False)
         self._stop_listening()
         scheduler = core.scheduler
         members = discovery_client.listed_workers()
-        estimates = [export_worker(view) for view in scheduler.worker_states.values()]
+        estimates = [export_worker(worker) for worker in scheduler.worker_states.values()]
         stop_feeding(scheduler)
         for start in range(0, max(len(members), len(estimates)), ITEMS_PER_MESSAGE):
             link.send(
@@ -294,16 +318,16 @@
                     members[start : start + ITEMS_PER_MESSAGE], estimates[start : start + ITEMS_PER_MESSAGE]
                 )
             )
-        ids = list(core.open_ids())
-        for start in range(0, len(ids), ITEMS_PER_MESSAGE):
-            link.send(RequestIdChanges(opened=ids[start : start + ITEMS_PER_MESSAGE]))
+        request_ids = list(core.open_ids())
+        for start in range(0, len(request_ids), ITEMS_PER_MESSAGE):
+            link.send(RequestIdChanges(opened=request_ids[start : start + ITEMS_PER_MESSAGE]))
         link.send(
             export_scheduler(scheduler, discovery_client.revision, str(discovery_client.discovery_address))
         )
         link.send(AcceptingStopped())
 
     async def _report_connection_counts(self, link: HotRestartLink) -> None:
-        """Reports the connections that the successor may not use, at each change, while the link is open."""
+        """Reports each change of the connection counts to the successor while the link is open."""
         reported = None
         while link.is_open:
             counts = self.connection_counts()
@@ -312,7 +336,10 @@
             await sleep(COUNTS_INTERVAL_S)
 
     def connection_counts(self) -> ConnectionCounts:
-        """Returns the connections that this process holds, or may still open."""
+        """Returns the connections that this process holds or may still open.
+
+        While it drains, it opens no worker connections beyond those that it holds.
+        """
         descriptors = self.context.descriptors
         return ConnectionCounts(
             len(self.server.table.connections),
@@ -320,7 +347,7 @@
         )
 
     def _handle_successor_closed(self) -> None:
-        """Resumes as the only process, unless everything was transferred."""
+        """Resumes accepting and feeding as the only process, unless all connections have been transferred."""
         if self.is_finished:
             return
         self.successor, had_transferred_state, self.has_transferred_state = (
@@ -337,19 +364,19 @@
         self.divide_connections()
 
     async def transfer_connections(self) -> bool:
-        """Transfers all connections after SIGTERM, until nothing is left here.
+        """Transfers all connections and open requests to the successor; called after SIGTERM.
 
-        Returns False if the successor ended first. The last wait, for the successor to close the link, is
-        bounded by ANSWER_TIMEOUT_S.
+        Returns whether all were transferred; False if the link to the successor ended before that. The final
+        wait for the successor to close the link is bounded by ANSWER_TIMEOUT_S.
         """
         self.is_draining = True
         while self.has_transferred_state and (
             self.server.table.connections or not self.context.core.is_idle() or self.successor.send_queue
         ):
-            for each in list(self.server.table.connections):
-                self._transfer_connection(each)
+            for connection in list(self.server.table.connections):
+                self._transfer_connection(connection)
             await sleep(TRANSFER_INTERVAL_S)
-        # The successor closes the link: closed from this side, it could lose messages still on it.
+        # The successor closes the link. If this process closed it, unread messages could be lost.
         self.is_finished = self.has_transferred_state
         if self.is_finished:
             deadline = IOLoop.current().time() + ANSWER_TIMEOUT_S
@@ -359,7 +386,7 @@
         return self.is_finished
 
     def _transfer_connection(self, connection: HttpClientConnection) -> None:
-        """Transfers one connection, with the request that is pending on it, if it can go now."""
+        """Transfers a connection and the request that is pending on it, if this is possible now."""
         pending, link, transferred_request = connection.pending_request, self.successor, None
         if link is None or not link.is_open:
             return
@@ -371,17 +398,17 @@
         detached = connection.detach(MAX_BUFFERED_BYTES)
         if detached is None:
             return
-        fd, data = detached
+        fd, buffered_bytes = detached
         transferred_connection = TransferredConnection(
-            data, connection.has_sent_request, connection.is_client, connection.peer_address
+            buffered_bytes, connection.has_sent_request, connection.is_client, connection.peer_address
         )
         if transferred_request is None:
             link.send(transferred_connection, fd)
             return
         transferred_request.connection = transferred_connection
         core, request_id = self.context.core, transferred_request.request.id
-        for _, out in core.in_flight_attempts(request_id):
-            out.connection.release_attempt(request_id)
+        for _, in_flight in core.in_flight_attempts(request_id):
+            in_flight.connection.release_attempt(request_id)
         core.release_request(request_id)
         release_request(core.scheduler, request_id)
         self.transferred_request_ids.add(request_id)
@@ -390,39 +417,45 @@
     def _build_transferred_request(
         self, connection: HttpClientConnection, request: JobRequest, keep_alive: bool
     ) -> TransferredRequest | None:
-        """Returns the message that describes a request.
+        """Returns the message that transfers a request, or None if it cannot be transferred now.
 
-        None while an attempt of it is being sent or cancelled, and if it is recorded in a journal.
+        It cannot be transferred while one of its attempts is being sent or cancelled, nor at all if requests
+        are recorded in a journal. The connection in the message is a placeholder, which the caller replaces.
         """
         core = self.context.core
-        call, job = core.pending_requests.get(request.id), core.scheduler.jobs.get(request.id)
-        if call is None or call.client is not connection or job is None or core.recorder is not None:
+        pending_request, job = core.pending_requests.get(request.id), core.scheduler.jobs.get(request.id)
+        if (
+            pending_request is None
+            or pending_request.client is not connection
+            or job is None
+            or core.recorder is not None
+        ):
             return None
         transferred = TransferredRequest(
             TransferredConnection(b"", True, True, ""),
             keep_alive,
             request,
-            call.deadline_ms,
+            pending_request.deadline_ms,
             job.arrived_ms,
             job.is_late,
             job.is_over_quota,
-            call.attempt_count,
+            pending_request.attempt_count,
             export_attempts(job),
         )
-        for number, out in core.in_flight_attempts(request.id):
+        for number, in_flight in core.in_flight_attempts(request.id):
             if (
-                not isinstance(out.connection, HttpWorker)
-                or out.connection.find_transferable(request.id, number) is None
+                not isinstance(in_flight.connection, HttpWorker)
+                or in_flight.connection.find_transferable(request.id, number) is None
             ):
                 return None
             transferred.worker_name, transferred.worker_address, transferred.expires_ms = (
-                out.connection.name,
-                out.connection.address,
-                out.expires_ms,
+                in_flight.connection.name,
+                in_flight.connection.address,
+                in_flight.expires_ms,
             )
         return transferred
 
-    # In both roles.
+    # Methods of both roles.
 
     def _attach(self, context: HotRestartContext) -> None:
         self.context = context
@@ -431,11 +464,14 @@
         context.discovery_client.on_unknown_callback = self._forward_callback
 
     def peer_link(self) -> HotRestartLink | None:
-        """Returns the link to the other process, once both know of each other; None without one."""
+        """Returns the link to the process that shares requests with this one, or None.
+
+        A successor counts only once it has received the estimates.
+        """
         return self.successor if self.has_transferred_state else self.predecessor
 
     def has_peer(self) -> bool:
-        """Returns whether there is a predecessor or a successor."""
+        """Returns whether this process has a link to a predecessor or a successor."""
         return self.predecessor is not None or self.successor is not None
 
     def _handle_common_message(self, message: HotRestartMessage) -> None:
@@ -444,7 +480,7 @@
             and message.request_id in self.transferred_request_ids
             and self.successor is not None
         ):
-            self.successor.send(message)  # the request went to the successor meanwhile
+            self.successor.send(message)  # the request has been transferred to the successor since
         elif isinstance(message, ForwardedCallback):
             event = WorkerCallback(message.request_id, message.state, message.body, message.report)
             self.context.discovery_client.post(WorkerCallbackReceived(message.worker_name, event, True))
--- a/spanwing/hot_restart/link.py
+++ b/spanwing/hot_restart/link.py
@@ -1,10 +1,11 @@
-"""A link between two processes on one machine, for complete messages with file descriptors.
+"""The link between the two processes of a hot restart: messages and file descriptors over a Unix socket.
 
-Messages arrive complete, in order and once, or the link has ended, which is reported once. Nothing here
-blocks. Up to MAX_QUEUED_MESSAGES messages are queued for a peer that does not read; beyond that the link
-ends. A descriptor passed to send() is closed here once it is sent, or when the link ends.
+Each message arrives complete, in order and once, until the link ends; the end is reported once. No call
+blocks. At most MAX_QUEUED_MESSAGES messages are queued for a peer that does not read; one more closes the
+link. A descriptor passed to send() is closed in this process once it is sent, or when the link ends.
 
-SOCK_SEQPACKET preserves message boundaries; IOStream is not used, as it cannot pass descriptors.
+The socket is a SOCK_SEQPACKET socket, which preserves message boundaries. Tornado's IOStream is not used, as
+it cannot pass descriptors.
 """
 
 from __future__ import annotations
@@ -21,14 +22,15 @@
 
 from spanwing.hot_restart.messages import MAX_MESSAGE_BYTES, HotRestartMessage, decode_message, encode_message
 
-MAX_QUEUED_MESSAGES = 5000  # messages queued to be sent
-MAX_READS_PER_EVENT = 64  # messages read in one turn of the loop
+MAX_QUEUED_MESSAGES = 5000  # messages that wait to be sent
+MAX_READS_PER_EVENT = 64  # messages read in one iteration of the event loop
 
 
 class HotRestartLink:
     """One end of the link.
 
-    on_message is called with each message and its descriptor, which is then the callee's to close.
+    on_message is called with each message and its descriptor or None; the callee closes the descriptor.
+    on_close is called once after the link has ended.
     """
 
     def __init__(self, sock: socket.socket) -> None:
@@ -40,9 +42,10 @@
         self.loop.add_handler(sock.fileno(), self._handle_events, IOLoop.READ)
 
     def send(self, message: HotRestartMessage, fd: int | None = None) -> None:
-        """Queues a message with its descriptor and sends what the socket takes.
+        """Queues a message with its descriptor, and writes as many queued messages as the socket accepts.
 
-        Closes the link if the message is longer than MAX_MESSAGE_BYTES or MAX_QUEUED_MESSAGES are queued.
+        Closes the link if the message is longer than MAX_MESSAGE_BYTES, or if MAX_QUEUED_MESSAGES are already
+        queued. On a closed link it only closes the descriptor.
         """
         data = encode_message(message)
         if not self.is_open or len(data) > MAX_MESSAGE_BYTES or len(self.send_queue) >= MAX_QUEUED_MESSAGES:
@@ -78,20 +81,21 @@
                 return
 
     def _read_message(self) -> bool:
+        """Reads one message and passes it to on_message; returns False if there is none or the link ended."""
         try:
             data, fds, flags, _ = socket.recv_fds(self.sock, MAX_MESSAGE_BYTES, 4)
         except BlockingIOError:
             return False
         except OSError:
             data, fds, flags = b"", [], 0
-        for extra in fds[1:]:
-            os.close(extra)
+        for extra_fd in fds[1:]:
+            os.close(extra_fd)
         fd = fds[0] if fds else None
         try:
             if flags & socket.MSG_TRUNC:
-                raise ValueError("a message too long")
+                raise ValueError("message exceeds MAX_MESSAGE_BYTES")
             message = decode_message(data)
-        except (ValueError, msgspec.MsgspecError):  # the peer has closed, or speaks another protocol
+        except (ValueError, msgspec.MsgspecError):  # the peer closed the link or speaks another protocol
             if fd is not None:
                 os.close(fd)
             self.close()
@@ -100,7 +104,7 @@
         return True
 
     def close(self) -> None:
-        """Closes the link and all queued descriptors; on_close is called in a later turn of the loop."""
+        """Closes the link and all queued descriptors; on_close is called in a later loop iteration."""
         if not self.is_open:
             return
         self.is_open = False
@@ -114,53 +118,57 @@
 
 
 class RendezvousSocket:
-    """The Unix socket by which a successor finds this process, however long its folder's path is."""
+    """The Unix socket on which a process listens for its successor.
+
+    The path of its folder may be longer than the kernel allows for the path of a socket.
+    """
 
     def __init__(self, folder: str, client_address: str) -> None:
-        """Takes the clients' address as part of the name, as other schedulers may use the same folder."""
+        """Names the socket after the address for clients, as several schedulers may share a folder."""
         self.folder, self.socket_name = folder, f"spanwing-{client_address}"
 
-    def _path(self, folder: int) -> str:
-        # The kernel limits a socket's path to 108 bytes; the path of an open folder's descriptor is short.
-        return f"/proc/self/fd/{folder}/{self.socket_name}"
+    def _path(self, folder_fd: int) -> str:
+        # The kernel limits the path of a socket to 108 bytes. This path is short for any folder.
+        return f"/proc/self/fd/{folder_fd}/{self.socket_name}"
 
     def connect(self) -> HotRestartLink | None:
-        """Returns a link to the process that listens there; None if none does."""
+        """Returns a link to the process that listens on the socket, or None if there is none."""
         sock = None
         try:
-            folder = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
+            folder_fd = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         except OSError:
             return None
         try:
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-            sock.setblocking(False)  # a full backlog counts as no listener
-            sock.connect(self._path(folder))
+            sock.setblocking(False)  # a listener whose backlog is full counts as none
+            sock.connect(self._path(folder_fd))
         except OSError:
             if sock is not None:
                 sock.close()
             return None
         finally:
-            os.close(folder)
+            os.close(folder_fd)
         return HotRestartLink(sock)
 
     def listen(self, on_connect: Callable[[HotRestartLink], None]) -> Callable[[], None]:
         """Listens in place of any earlier process, and calls on_connect with each new link.
 
-        Returns the function that stops listening. Raises OSError.
+        Returns a function that stops listening. It removes the socket file unless a later process has
+        replaced it. Raises OSError if the socket cannot be created.
         """
-        folder = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
+        folder_fd = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
             with suppress(FileNotFoundError):
-                os.unlink(self.socket_name, dir_fd=folder)
-            sock.bind(self._path(folder))
-            os.chmod(self.socket_name, 0o600, dir_fd=folder)
-            own_stat = os.stat(self.socket_name, dir_fd=folder)
+                os.unlink(self.socket_name, dir_fd=folder_fd)
+            sock.bind(self._path(folder_fd))
+            os.chmod(self.socket_name, 0o600, dir_fd=folder_fd)
+            own_stat = os.stat(self.socket_name, dir_fd=folder_fd)
         except OSError:
             sock.close()
             raise
         finally:
-            os.close(folder)
+            os.close(folder_fd)
         sock.setblocking(False)
         sock.listen(4)
         loop = IOLoop.current()
@@ -176,8 +184,8 @@
             sock.close()
             path = Path(self.folder) / self.socket_name
             with suppress(OSError):
-                there = path.stat()
-                if (there.st_dev, there.st_ino) == (own_stat.st_dev, own_stat.st_ino):
+                current_stat = path.stat()
+                if (current_stat.st_dev, current_stat.st_ino) == (own_stat.st_dev, own_stat.st_ino):
                     path.unlink()
 
         return close
