--- a/spanwing/hot_restart/messages.py
+++ b/spanwing/hot_restart/messages.py
@@ -1,7 +1,8 @@
-"""The messages between two processes on one listening socket.
+"""The messages between the two processes of a hot restart.
 
-A message is either complete or absent. The first one carries the version; another version, or anything that
-cannot be decoded, ends the link, and the processes go on independently.
+The first message carries the protocol version. A different version, or a message that cannot be decoded, ends
+the link, and both processes continue independently. The tags of the messages and the names of their fields on
+the wire differ from the names here where a `name=` or `tag=` says so; they are fixed by the protocol version.
 """
 
 from __future__ import annotations
@@ -12,42 +13,42 @@
 from spanwing.discovery.client import DiscoveredWorker
 
 VERSION = 1
-MAX_MESSAGE_BYTES = 160_000  # of one message: a body, a head and the bytes read ahead
-ITEMS_PER_MESSAGE = 100  # workers, or request ids, in one message
-MAX_BUFFERED_BYTES = 64_000  # of a partly read message, transferred with its connection
+MAX_MESSAGE_BYTES = 160_000  # room for a request's body and headers, and for the input buffered after them
+ITEMS_PER_MESSAGE = 100  # workers or request ids in one message
+MAX_BUFFERED_BYTES = 64_000  # input of an incomplete HTTP message that is transferred with its connection
 
 
 class SuccessorHello(msgspec.Struct, tag="hello"):
-    """The successor's first message."""
+    """The first message of the successor."""
 
     version: int
 
 
 class ConnectionCounts(msgspec.Struct, tag="held"):
-    """The connections that the predecessor holds, or may open; the successor may use the rest."""
+    """The connections that the predecessor holds or may still open; the successor may use the others."""
 
     client_connections: int = msgspec.field(name="clients")
     worker_connections: int = msgspec.field(name="hops")
 
 
 class SuccessorReady(msgspec.Struct, tag="ready"):
-    """The successor can accept clients."""
+    """Tells the predecessor that the successor is ready to accept clients."""
 
 
 class WorkerEstimates(msgspec.Struct, tag="worker", array_like=True):
-    """The estimates of one worker, from the scheduler's state of it."""
+    """The estimates of one worker, taken from its WorkerState in the scheduler."""
 
     worker_id: int
     estimated_slots: float
     slots_reported: bool
-    reserved_slots: int  # slots of the predecessor's attempts in flight
-    foreign_slots: float
-    last_observed_ms: float | None
+    reserved_slots: int  # slots of the predecessor's own attempts in flight
+    foreign_slots: float  # slots used by attempts of other schedulers
+    last_observed_ms: float | None  # None: never
     last_heard_ms: float
     reports_progress: bool
     ejected_until_ms: float
     ejection_count: int
-    concurrency_limit: float | None
+    concurrency_limit: float | None  # None: no limit
     peak_running_slots: float
     capacity_fixed_until_ms: float
     relative_service_time: float
@@ -55,17 +56,17 @@
 
 
 class WorkerEstimatesBatch(msgspec.Struct, tag="workers"):
-    """A part of the predecessor's endpoint list and of its estimates of the workers."""
+    """A part of the predecessor's endpoint list and of its estimates for the workers."""
 
     members: list[DiscoveredWorker]
     estimates: list[WorkerEstimates] = msgspec.field(name="seen")
 
 
 class SchedulerEstimates(msgspec.Struct, tag="learned"):
-    """The scheduler's estimates that concern no single worker."""
+    """The scheduler's estimates that do not concern a single worker; sent after all WorkerEstimatesBatch."""
 
     revision: int | None  # of the endpoint list
-    discovery: str  # the address of the discovery service that the list is from
+    discovery: str  # address of the discovery service that the endpoint list comes from
     started_ms: float = msgspec.field(name="born")
     mean_service_ms: dict[str, float] = msgspec.field(name="work")  # by class
     start_delay_by_zone: dict[str, float] = msgspec.field(name="quick")  # by zone
@@ -73,24 +74,23 @@
     fleet_utilization: float = msgspec.field(name="busy")
     sticky_share: float = msgspec.field(name="keys")
     acceptance_reported: bool = msgspec.field(name="accepts")
-    token_accounts: dict[str, tuple[float, float, float]] = msgspec.field(
-        name="ledgers"
-    )  # by tenant: earned, spent, credit
+    # By tenant: earned, spent, burst allowance.
+    token_accounts: dict[str, tuple[float, float, float]] = msgspec.field(name="ledgers")
 
 
 class RequestIdChanges(msgspec.Struct, tag="ids"):
-    """Requests that have opened or ended at the sender."""
+    """The ids of requests that have been opened or have ended at the sender."""
 
     opened: list[str] = []
     ended: list[str] = []
 
 
 class AcceptingStopped(msgspec.Struct, tag="over"):
-    """The predecessor has sent all estimates, accepts no clients and feeds no worker that is warming up."""
+    """Ends the estimates; the predecessor has stopped accepting clients and feeding workers that warm up."""
 
 
 class ForwardedCallback(msgspec.Struct, tag="called"):
-    """A worker's callback about an attempt that is not the sender's."""
+    """A worker's call-back about an attempt that the sender does not have."""
 
     worker_name: str = msgspec.field(name="name")
     request_id: str = msgspec.field(name="request")
@@ -100,16 +100,16 @@
 
 
 class TransferredConnection(msgspec.Struct, tag="passed"):
-    """A client's or a worker's connection; its descriptor comes with this message."""
+    """The connection of a client or a worker; its descriptor accompanies this message."""
 
-    buffered_bytes: bytes = msgspec.field(name="data")  # read already, and not a complete HTTP message
+    buffered_bytes: bytes = msgspec.field(name="data")  # input already read of an incomplete HTTP message
     has_sent_request: bool = msgspec.field(name="heard")
     is_client: bool = msgspec.field(name="asks")
     peer_address: str = msgspec.field(name="peer")
 
 
 class TransferredAttempt(msgspec.Struct, tag="tried", array_like=True):
-    """One attempt of a request, from the scheduler's state of it."""
+    """One attempt of a request, taken from its Attempt in the scheduler."""
 
     worker_id: int
     forwarded_ms: float
@@ -120,7 +120,10 @@
 
 
 class TransferredRequest(msgspec.Struct, tag="moved"):
-    """An open request, with its client's connection as a descriptor; the predecessor has dropped it."""
+    """An open request; the descriptor of its client's connection accompanies this message.
+
+    The predecessor has dropped the request. The last three fields are set only if an attempt is in flight.
+    """
 
     connection: TransferredConnection
     keep_alive: bool = msgspec.field(name="keep")  # the connection stays open after the answer
@@ -129,17 +132,18 @@
     arrived_ms: float = msgspec.field(name="born")
     is_late: bool = msgspec.field(name="spoilt")
     is_over_quota: bool = msgspec.field(name="over")
-    attempt_count: int = msgspec.field(name="sent")  # attempts begun
+    attempt_count: int = msgspec.field(name="sent")  # attempts started so far
     attempts: list[TransferredAttempt] = msgspec.field(name="tried")
-    worker_name: str = msgspec.field(
-        default="", name="hop"
-    )  # the worker that has the attempt in flight; its address follows
+    worker_name: str = msgspec.field(default="", name="hop")  # the worker that runs the attempt in flight
     worker_address: str = msgspec.field(default="", name="place")
-    expires_ms: float = msgspec.field(default=0.0, name="until")  # when that attempt expires
+    expires_ms: float = msgspec.field(default=0.0, name="until")  # when the attempt in flight expires
 
 
 class PredecessorDone(msgspec.Struct, tag="bye"):
-    """The predecessor has nothing left; the successor closes the link, so that no message on it is lost."""
+    """Tells the successor that all was transferred.
+
+    The successor then closes the link; if the predecessor closed it, unread messages could be lost.
+    """
 
 
 HotRestartMessage = (
--- a/spanwing/hot_restart/state_transfer.py
+++ b/spanwing/hot_restart/state_transfer.py
@@ -1,9 +1,9 @@
-"""Transfers the scheduler's estimates and open requests to the process that replaces this one.
+"""Exports and imports the scheduler's estimates and open requests for a hot restart.
 
-Pure. State is imported as it was exported, by the same clock; estimates of a class, tenant or worker that is
-unknown here are ignored, and a resumed attempt's unknown worker counts as gone from the list. The budgets of
-workers that are warming up are transferred with the work already forwarded to them, so that both processes
-together stay within them.
+These functions do no I/O. Both processes use the same clock, so times are imported unchanged. Estimates for a
+class or a tenant that this process does not know are ignored. If the worker of a resumed attempt is not in
+the endpoint list, it is added as a worker that has left the list. The work already forwarded to a worker that
+is warming up is transferred too, so that both processes together stay within that worker's budget.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def export_worker(worker: WorkerState) -> WorkerEstimates:
-    """Returns the estimates of one worker."""
+    """Returns the estimates for a worker; an infinite time or limit becomes None."""
     return WorkerEstimates(
         worker.entry.id,
         worker.estimated_slots,
@@ -38,12 +38,15 @@
     )
 
 
-def import_worker(worker: WorkerState, estimates: WorkerEstimates, now: float) -> None:
-    """Sets a worker's estimates; the predecessor's reserved slots count as load of others, seen now."""
+def import_worker(worker: WorkerState, estimates: WorkerEstimates, now_ms: float) -> None:
+    """Sets the estimates for a worker.
+
+    The slots that the predecessor has reserved count as load of other schedulers, observed at now_ms.
+    """
     worker.estimated_slots, worker.slots_reported = estimates.estimated_slots, estimates.slots_reported
     worker.foreign_slots = estimates.foreign_slots + estimates.reserved_slots
     worker.last_observed_ms = (
-        now
+        now_ms
         if estimates.reserved_slots
         else -math.inf
         if estimates.last_observed_ms is None
@@ -67,25 +70,32 @@
 
 
 def stop_feeding(scheduler: Scheduler) -> None:
-    """Stops feeding workers that are warming up; the successor feeds them: one budget, one feeder."""
+    """Stops feeding workers that are warming up.
+
+    From now on only the successor feeds them, as two feeders would exceed the budget of one.
+    """
     scheduler.is_feeding_enabled, scheduler.fed_workers = False, []
-    for view in scheduler.worker_states.values():
-        view.feeder_share = 0.0
+    for worker in scheduler.worker_states.values():
+        worker.feeder_share = 0.0
 
 
 def resume_feeding(scheduler: Scheduler) -> None:
-    """Resumes feeding, as the successor has gone.
+    """Resumes feeding workers that are warming up after the successor has ended.
 
-    What it forwarded is not known, so feeding begins with halved parts, as after a restart.
+    How much the successor has forwarded to them is unknown, so feeding starts with halved shares, as after a
+    restart.
     """
     scheduler.is_feeding_enabled, scheduler.started_ms = True, scheduler.now
-    for view in scheduler.worker_states.values():
-        view.feeder_share = scheduler.is_feeder(view.entry.id)
+    for worker in scheduler.worker_states.values():
+        worker.feeder_share = scheduler.is_feeder(worker.entry.id)
     scheduler.assign_workers()
 
 
 def export_scheduler(scheduler: Scheduler, revision: int | None, discovery: str) -> SchedulerEstimates:
-    """Returns the scheduler's estimates that concern no single worker, and the list's revision."""
+    """Returns the estimates that do not concern a single worker.
+
+    revision and discovery: the revision of the endpoint list and the address of its discovery service.
+    """
     class_names = [each.name for each in scheduler.settings.classes]
     return SchedulerEstimates(
         revision,
@@ -105,8 +115,8 @@
     )
 
 
-def import_scheduler(scheduler: Scheduler, estimates: SchedulerEstimates, now: float) -> None:
-    """Sets the scheduler's estimates; classes and tenants that are unknown here are left out."""
+def import_scheduler(scheduler: Scheduler, estimates: SchedulerEstimates, now_ms: float) -> None:
+    """Sets the estimates that do not concern a single worker; ignores unknown classes and tenants."""
     scheduler.started_ms, scheduler.fleet_utilization, scheduler.sticky_share = (
         estimates.started_ms,
         estimates.fleet_utilization,
@@ -118,19 +128,19 @@
     for name, service_ms in estimates.mean_service_ms.items():
         if name in scheduler.class_indexes:
             scheduler.mean_service_ms[scheduler.class_indexes[name]] = service_ms
-    for name, (earned, spent, credit) in estimates.token_accounts.items():
+    for name, (earned, spent, burst_allowance) in estimates.token_accounts.items():
         account: TokenAccount | None = scheduler.token_accounts.get(name)
         if account is not None:
             account.earned, account.spent, account.burst_allowance, account.refilled_ms = (
                 earned,
                 spent,
-                credit,
-                now,
+                burst_allowance,
+                now_ms,
             )
 
 
 class RequestResumed(NamedTuple):
-    """An event for the scheduler: another process's request, with its attempts so far."""
+    """An event for the scheduler: a request taken over from another process, with its attempts so far."""
 
     request: api.Request
     arrived_ms: float
@@ -139,8 +149,8 @@
     attempts: list[TransferredAttempt]
 
 
-def export_attempts(request: Job) -> list[TransferredAttempt]:
-    """Returns the attempts of a request, in their order."""
+def export_attempts(job: Job) -> list[TransferredAttempt]:
+    """Returns the attempts of a request in the order in which they were started."""
     return [
         TransferredAttempt(
             each.worker.entry.id,
@@ -150,12 +160,12 @@
             each.last_progress_ms,
             each.never_ran,
         )
-        for each in request.attempts
+        for each in job.attempts
     ]
 
 
 def release_request(scheduler: Scheduler, request_id: str) -> None:
-    """Drops a request that another process now has: it is no longer queued, and its slots are released."""
+    """Removes a request that has been transferred: dequeues it and releases its reserved slots."""
     job = scheduler.jobs.pop(request_id)
     scheduler._dequeue(job)
     for number, attempt in enumerate(job.attempts):
@@ -168,22 +178,22 @@
 
 
 def _resume_request(scheduler: Scheduler, event: RequestResumed) -> None:
-    """Adds a request as if it had begun here: the same counts, the same alarms from the same moments."""
-    req = event.request
-    index = scheduler.class_indexes.get(req.class_name, 0)
+    """Adds a request as if it had been submitted here, with the same counts and timers at the same times."""
+    request = event.request
+    index = scheduler.class_indexes.get(request.class_name, 0)
     job = Job(
-        req,
+        request,
         scheduler.settings.classes[index],
         index,
         event.arrived_ms,
         is_late=event.is_late,
         is_over_quota=event.is_over_quota,
     )
-    scheduler.jobs[req.id] = job
-    scheduler.timers.call_at(req.deadline, scheduler._finish_unserved, job)
+    scheduler.jobs[request.id] = job
+    scheduler.timers.call_at(request.deadline, scheduler._finish_unserved, job)
     for number, transferred in enumerate(event.attempts):
         worker = scheduler.worker_states.get(transferred.worker_id)
-        if worker is None:  # gone from the list; its attempt may still end
+        if worker is None:  # no longer in the endpoint list, but its attempt may still end
             worker = scheduler.worker_states[transferred.worker_id] = WorkerState(
                 api.Worker(transferred.worker_id, "gone"), False, ASSUMED_SLOTS
             )
@@ -198,7 +208,7 @@
         )
         job.attempts.append(attempt)
         if transferred.is_open:
-            scheduler.open_attempts[req.id, number] = attempt
+            scheduler.open_attempts[request.id, number] = attempt
             _reserve_slots(scheduler, attempt, number)
     if not any(each.is_open for each in job.attempts):
         scheduler._enqueue(job)
@@ -206,10 +216,10 @@
 
 
 def _reserve_slots(scheduler: Scheduler, attempt: Attempt, number: int) -> None:
+    """Reserves the slots of a resumed attempt and starts its timers."""
     job, worker, settings = attempt.job, attempt.worker, scheduler.settings
-    worker.foreign_slots = max(
-        0.0, worker.foreign_slots - job.request.slots
-    )  # counted as load of others until now
+    # import_worker() has counted these slots as load of other schedulers.
+    worker.foreign_slots = max(0.0, worker.foreign_slots - job.request.slots)
     worker.reserved_slots += job.request.slots
     worker.reserved_memory += job.request.memory
     start_delay_ms = scheduler.start_delay_by_zone.get(worker.entry.zone, 10.0)
