--- a/spanwing/health/__init__.py
+++ b/spanwing/health/__init__.py
@@ -1,3 +1,4 @@
-"""What a scheduler reports of itself to balancers; pure functions and classes that are given time and
-signals.
+"""Computes the health state and weight that a scheduler reports to load balancers.
+
+Nothing in this package does I/O or reads a clock: callers pass in the time and the signals.
 """
--- a/spanwing/health/drain_orders.py
+++ b/spanwing/health/drain_orders.py
@@ -1,7 +1,8 @@
-"""Drain orders: their sources, their start and their deadlines.
+"""Drain orders, with their sources and deadlines.
 
-A drain lasts as long as any source has not withdrawn its order; the order of SIGTERM is never withdrawn.
-The notice runs from the first order, so that a second source neither prolongs nor restarts it.
+A drain lasts until every source has withdrawn its order. The order of SIGTERM (source "signal") cannot be
+withdrawn. The notice period starts with the first order; an order from a second source neither extends nor
+restarts it.
 """
 
 from __future__ import annotations
@@ -14,26 +15,27 @@
 
 
 class DrainOrders:
-    """The drain orders in force."""
+    """The drain orders in force; notice_ms is the length of the notice period."""
 
     def __init__(self, notice_ms: float) -> None:
         self.notice_s = notice_ms / 1000.0
-        # When each source wants the drain done, in seconds of the caller's clock.
+        # By source: when all requests are to be answered, in seconds of the caller's clock.
         self.deadlines: dict[DrainSource, float] = {}
         self.started_at_s: float | None = None
 
-    def add(self, source: DrainSource, now: float, within_s: float = math.inf) -> bool:
-        """Adds an order to drain, with all requests answered after within_s (s); returns whether the drain
-        begins now.
+    def add(self, source: DrainSource, now_s: float, within_s: float = math.inf) -> bool:
+        """Adds the order of a source to have all requests answered within within_s seconds.
+
+        A new order replaces an earlier one of the same source. Returns whether the drain starts with it.
         """
         is_first = not self.deadlines
         if is_first:
-            self.started_at_s = now
-        self.deadlines[source] = now + within_s
+            self.started_at_s = now_s
+        self.deadlines[source] = now_s + within_s
         return is_first
 
     def withdraw(self, source: DrainSource) -> bool:
-        """Withdraws the order of a source; returns whether the drain ends."""
+        """Withdraws the order of a source; returns whether the drain ends with it."""
         if source == "signal" or self.deadlines.pop(source, None) is None:
             return False
         if self.deadlines:
@@ -48,22 +50,23 @@
 
     @property
     def earliest_deadline_s(self) -> float:
-        """The earliest time at which an order wants all requests answered; infinity without orders."""
+        """The earliest deadline of all orders; infinity if there are none."""
         return min(self.deadlines.values(), default=math.inf)
 
     @property
     def notice_ends_at_s(self) -> float:
-        """When the notice ends; infinity if no drain is in force."""
+        """The end of the notice period; infinity if no drain is in force."""
         return math.inf if self.started_at_s is None else self.started_at_s + self.notice_s
 
-    def phase(self, now: float) -> DrainPhase:
-        """Returns the phase: in "notice" balancers still learn of the drain and new work is accepted; in
-        "closed" it is rejected.
+    def phase(self, now_s: float) -> DrainPhase:
+        """Returns the phase of the drain.
+
+        "notice": new work is still accepted while balancers learn of the drain. "closed": it is rejected.
         """
         if self.started_at_s is None:
             return "none"
-        return "notice" if now < self.notice_ends_at_s else "closed"
+        return "notice" if now_s < self.notice_ends_at_s else "closed"
 
     def describe(self) -> str:
-        """Returns a line that names the sources of the drain."""
+        """Returns a text for operators that names the sources of the drain."""
         return "draining, asked for by " + " and ".join(sorted(self.deadlines))
--- a/spanwing/health/settings.py
+++ b/spanwing/health/settings.py
@@ -1,4 +1,4 @@
-"""The operator's settings of what is reported to balancers, with their bounds."""
+"""The operator's settings for the health that is reported to balancers, with their bounds."""
 
 from __future__ import annotations
 
@@ -6,21 +6,31 @@
 
 
 class HealthSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The defaults suit checks every second. A wrong value raises ValueError that names the setting."""
+    """The settings of the table `balancers`; the defaults suit balancers that check every second.
 
-    notice_ms: float = 1750.0  # new work is still accepted so long after a drain: balancers learn of it
-    floor: float = 10.0  # percent: a shortage alone never reports less
-    slow_from: float = 10.0  # percent: reported first after a start, an undrain or an absence
-    slow_start_ms: float = 10_000.0  # from there to 100 percent; no rise is ever faster
-    fall_per_s: float = 60.0  # percentage points by which the weight may fall in a second
-    step: float = 3.0  # percentage points: a smaller change is not reported
-    short_at: float = 0.85  # of the loop's time: from here on the daemon is short of CPU
-    short_ms: float = 150.0  # for so long: one burst or one pause of the machine is no shortage
-    ease_at: float = 0.6  # below this it has enough again
-    ease_ms: float = 2000.0  # for so long, before the shortage is over
-    settle_ms: float = 1500.0  # between two cuts for CPU: balancers have to see one before the next
-    starting_ms: float = 5000.0  # without a worker list the daemon is starting so long, then absent
-    discovery_ms: float = 30_000.0  # if discovery is silent for longer, its list is stale
+    Weights are in percent; the thresholds of CPU demand are ratios of the event loop's time. An invalid value
+    raises a ValueError that names the setting.
+    """
+
+    # Notice period of a drain: new work is still accepted, so that balancers can learn of the drain.
+    notice_ms: float = 1750.0
+    floor: float = 10.0  # percent; the minimum weight that a shortage alone can lead to
+    slow_from: float = 10.0  # percent; the first weight of a slow start, after a start, undrain or absence
+    # Time of a rise by 100 percentage points; the weight never rises faster.
+    slow_start_ms: float = 10_000.0
+    fall_per_s: float = 60.0  # percentage points; the weight falls by at most this in a second
+    step: float = 3.0  # percentage points; smaller changes of the weight are not reported
+    short_at: float = 0.85  # CPU demand from which on the daemon is overloaded
+    # How long the overload lasts before it counts as a shortage; one burst, or one pause of the machine, does
+    # not.
+    short_ms: float = 150.0
+    ease_at: float = 0.6  # CPU demand below which the daemon recovers
+    ease_ms: float = 2000.0  # how long it stays below ease_at before the shortage ends
+    # Least time between two cuts of the weight for CPU, so that balancers see one cut before the next.
+    settle_ms: float = 1500.0
+    # How long the state after the start is "starting" without an endpoint list; then it is "absent".
+    starting_ms: float = 5000.0
+    discovery_ms: float = 30_000.0  # the endpoint list is stale if discovery is silent for longer
 
     def __post_init__(self) -> None:
         percents = ("floor", "slow_from", "step")
--- a/spanwing/health/signals.py
+++ b/spanwing/health/signals.py
@@ -1,7 +1,6 @@
-"""What is known of the daemon at one moment, in plain figures.
+"""The signals from which the health is computed: a sample of the daemon's state at one moment.
 
-Nothing here measures or decides. Each figure has its unit in its name or comment; a figure that cannot be
-had is None, never a guess.
+A value that is not available is None.
 """
 
 from __future__ import annotations
@@ -10,13 +9,16 @@
 
 
 class CpuUsage(NamedTuple):
-    """CPU usage over the last window, each figure a ratio from 0 up."""
+    """CPU usage in the last window of the CPU meter.
 
-    used: float = 0.0  # CPU time of the process, of the cores that it may use
-    demand: float = 0.0  # time in which the loop had work, of all time: at 1 a backlog grows
-    stolen: float = 0.0  # time in which the loop had work and got no CPU, of all time
+    used, demand and stolen are ratios from 0 up; with a demand of 1 a backlog grows.
+    """
+
+    used: float = 0.0  # CPU time of the process, relative to the cores that it may use
+    demand: float = 0.0  # time in which the event loop had work, relative to all time
+    stolen: float = 0.0  # time in which the event loop had work but got no CPU, relative to all time
     lag_ms: float = 0.0  # the largest delay of a timer
-    is_contended: bool = False  # just now: the loop has no pause, and others take much of the time
+    is_contended: bool = False  # in the last few readings the loop never idled and others took much CPU
 
 
 class ClassLoad(NamedTuple):
@@ -24,11 +26,11 @@
 
     name: str
     latency_objective_ms: float
-    worker_kind: str | None = None  # the only kind of worker that runs it; None: any
+    worker_kind: str | None = None  # the only kind of worker that runs this class; None: any
     queued: int = 0
     oldest_queued_ms: float = 0.0  # how long the oldest queued request has waited
-    needs_store: bool = False
-    rejection_reason: str = ""  # why the daemon itself accepts none of it now
+    needs_store: bool = False  # whether it is accepted only with a quorum of the store
+    rejection_reason: str = ""  # why the daemon rejects this class at present; empty if it does not
 
 
 class WorkerCounts(NamedTuple):
@@ -36,35 +38,37 @@
 
     zone: str
     kind: str
-    listed: int
-    accepting: int  # of these, that accept new work
+    listed: int  # workers in the endpoint list
+    accepting: int  # listed workers that accept new work
 
 
 class ResourceUsage(NamedTuple):
-    """How much of a limit is in use."""
+    """The use of a limited resource."""
 
     used: float
     limit: float
 
     @property
     def used_ratio(self) -> float:
-        """The used part of the limit, at most 9.99; 0 without a limit."""
+        """The use relative to the limit, at most 9.99; 0 without a limit."""
         return min(9.99, self.used / self.limit) if self.limit > 0 else 0.0
 
 
 class HealthSignals(NamedTuple):
-    """One sample."""
+    """One sample of all signals."""
 
     cpu: CpuUsage = CpuUsage()
     classes: tuple[ClassLoad, ...] = ()
     workers: tuple[WorkerCounts, ...] = ()
-    zone: str = ""
+    zone: str = ""  # the zone of this daemon
     answered: int = 0  # final answers since the start
-    rejected: int = 0  # of these, rejections
-    client_connections: ResourceUsage = ResourceUsage(0, 1)  # clients' connections
+    rejected: int = 0  # rejections among the final answers
+    client_connections: ResourceUsage = ResourceUsage(0, 1)
     descriptors: ResourceUsage = ResourceUsage(0, 1)
     memory_mb: ResourceUsage = ResourceUsage(0, 1)
-    has_store_quorum: bool | None = None  # of the store's members; None: no store is shared
-    discovery_age_s: float | None = None  # since its last message; None: it is not polled
-    endpoints_known: bool = True  # a worker list has come
-    outstanding: int = 0  # requests accepted and not answered, or attempts in flight
+    has_store_quorum: bool | None = None  # None: there is no shared store, or its quorum is not known yet
+    discovery_age_s: float | None = (
+        None  # since the last message of discovery; None: without a discovery watch
+    )
+    endpoints_known: bool = True  # whether an endpoint list has been received
+    outstanding: int = 0  # pending requests plus attempts in flight
