--- a/spanwing/log/__init__.py
+++ b/spanwing/log/__init__.py
@@ -1,4 +1,4 @@
-"""Logs events for operators, one a line; see spanwing/log/events.py."""
+"""Logs structured events for operators, one event a line; see spanwing/log/events.py."""
 
 from spanwing.log.events import log_event
 
--- a/spanwing/log/events.py
+++ b/spanwing/log/events.py
@@ -1,7 +1,8 @@
-"""log_event(): one event a line, plain by default, by structlog if the operator's file asks for a format.
+"""log_event() writes one event a line: as plain text by default, or by structlog in a configured format.
 
-Rate and memory are bounded (limit.py, writer.py), and the loop never waits for a reader. structlog is
-loaded only by EventLog.open(). Every change of state is logged with its reason.
+The rate of lines (limit.py) and the memory for queued lines (writer.py) are bounded, and the event loop never
+waits for a reader of the log. structlog is imported only by EventLog.open(), that is, only if a format is
+configured.
 """
 
 from __future__ import annotations
@@ -21,16 +22,17 @@
 
 
 class EventLog:
-    """The destination of events; opened once by the daemon."""
+    """The destination of events: the standard library's log until open() is called, then structlog."""
 
     def __init__(self) -> None:
         self.limiter = RateLimiter(DEFAULT_LINES_PER_S, DEFAULT_BURST_LINES)
         self.writer: StderrWriter | None = None
-        self.structured: Any = None
+        self.structlog_logger: Any = None
 
     def open(self, log_format: LogFormat, lines_per_s: float, fields: dict[str, str]) -> None:
-        """Writes by structlog from now on, including records of the standard library; the given fields
-        stand in each line.
+        """Writes events, and records of the standard library's log, by structlog from now on.
+
+        lines_per_s limits the rate of each event; fields are added to each line.
         """
         import structlog
 
@@ -66,25 +68,26 @@
             logger_factory=structlog.stdlib.LoggerFactory(),
             wrapper_class=structlog.stdlib.BoundLogger,
         )
-        self.structured = structlog.get_logger("spanwing").bind(**fields)
+        self.structlog_logger = structlog.get_logger("spanwing").bind(**fields)
 
     def close(self) -> None:
-        """Closes the writer, which has at most 0.5 s for the lines still queued."""
+        """Closes the writer, which has CLOSE_TIMEOUT_S (0.5 s) to write the lines still queued."""
         if self.writer is not None:
             self.writer.close()
 
     def log_event(self, event: str, level: str = "info", rate_limited: bool = True, **fields: Any) -> None:
-        """Logs an event with its fields. rate_limited: False for events whose number the caller bounds.
+        """Logs an event with its fields.
 
-        A line after suppressed ones has their number as the field left_out.
+        rate_limited is False for events whose number the caller bounds. The first line after suppressed ones
+        has their number as the field `left_out`.
         """
-        left_out = self.limiter.admit(event, time.monotonic()) if rate_limited else 0
-        if left_out is None:
+        suppressed_lines = self.limiter.admit(event, time.monotonic()) if rate_limited else 0
+        if suppressed_lines is None:
             return
-        if left_out:
-            fields["left_out"] = left_out
-        if self.structured is not None:
-            getattr(self.structured, level)(event, **fields)
+        if suppressed_lines:
+            fields["left_out"] = suppressed_lines
+        if self.structlog_logger is not None:
+            getattr(self.structlog_logger, level)(event, **fields)
         else:
             getattr(fallback_logger, level)(
                 "%s %s", event, " ".join(f"{key}={value}" for key, value in fields.items())
@@ -92,7 +95,7 @@
 
 
 def _flatten_lists(_: object, __: str, fields: dict[str, Any]) -> dict[str, Any]:
-    """Joins lists to one word: a line of key=value has no other form for them."""
+    """Joins the items of lists by commas, as lines of key=value pairs have no lists."""
     return {
         key: ",".join(map(str, value)) if isinstance(value, list | tuple) else value
         for key, value in fields.items()
@@ -104,7 +107,7 @@
 
 
 class _StderrHandler(logging.Handler):
-    """Writes records of the standard library, rate-limited by their message template."""
+    """Writes records of the standard library's log, with a rate limit for each message template."""
 
     def __init__(self, writer: StderrWriter, limiter: RateLimiter, formatter: logging.Formatter) -> None:
         super().__init__()
@@ -112,12 +115,12 @@
         self.setFormatter(formatter)
 
     def emit(self, record: logging.LogRecord) -> None:
-        is_structured = isinstance(record.msg, dict)  # from structlog, and limited by log_event() already
+        is_structured = isinstance(record.msg, dict)  # it comes from log_event(), which has limited its rate
         if not is_structured and self.limiter.admit(str(record.msg), time.monotonic()) is None:
             return
         try:
             self.writer.enqueue(self.format(record))
-        except Exception:  # a line that cannot be formatted must not end the caller
+        except Exception:  # a record that cannot be formatted must not raise in the caller
             self.writer.enqueue(f"event=log_fault message={record.msg!r}")
 
 
@@ -126,5 +129,5 @@
 
 
 def print_line(text: str) -> None:
-    """Prints a plain line on standard error, for whoever watches the start."""
+    """Prints a line on standard error without the log's format, for the operator who starts the daemon."""
     print(f"spanwing: {text}", file=sys.stderr, flush=True)
--- a/spanwing/log/limit.py
+++ b/spanwing/log/limit.py
@@ -1,7 +1,7 @@
-"""Limits how often one event is logged.
+"""Limits the rate at which each event is logged.
 
-A token bucket for each event, MAX_EVENT_NAMES (256) of them at most; the least recently used one is
-dropped. Suppressed lines are counted, and the next line of that event carries the count.
+There is a token bucket for each event, for at most MAX_EVENT_NAMES (256) events; beyond that the least
+recently used bucket is dropped. Suppressed lines are counted, and the event's next line carries the count.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 
 
 class RateLimiter:
-    """Allows lines_per_s lines of an event in a second, and bursts of this many."""
+    """Allows lines_per_s lines of each event on average, and bursts of burst_lines."""
 
-    def __init__(self, lines_per_s: float, burst: float) -> None:
+    def __init__(self, lines_per_s: float, burst_lines: float) -> None:
         assert lines_per_s > 0
-        assert burst >= 1
-        self.lines_per_s, self.burst = lines_per_s, burst
-        self.buckets: OrderedDict[str, tuple[float, float, int]] = (
-            OrderedDict()
-        )  # tokens, time of the last refill in s, suppressed lines
-
-    def admit(self, event: str, now: float) -> int | None:
-        """Returns how many lines of this event were suppressed since its last line, or None if this one is
-        suppressed too. now: seconds.
+        assert burst_lines >= 1
+        self.lines_per_s, self.burst_lines = lines_per_s, burst_lines
+        # By event: tokens, time of the last refill in s, suppressed lines.
+        self.buckets: OrderedDict[str, tuple[float, float, int]] = OrderedDict()
+
+    def admit(self, event: str, now_s: float) -> int | None:
+        """Returns the number of lines suppressed since the event's last line, or None to suppress this one.
+
+        now_s must come from a monotonic clock.
         """
-        tokens, refilled_at, left_out = self.buckets.pop(event, (self.burst, now, 0))
-        tokens = min(self.burst, tokens + max(0.0, now - refilled_at) * self.lines_per_s)
+        tokens, refilled_at_s, suppressed_lines = self.buckets.pop(event, (self.burst_lines, now_s, 0))
+        tokens = min(self.burst_lines, tokens + max(0.0, now_s - refilled_at_s) * self.lines_per_s)
         is_admitted = tokens >= 1.0
-        self.buckets[event] = (tokens - is_admitted, now, 0 if is_admitted else left_out + 1)
+        self.buckets[event] = (tokens - is_admitted, now_s, 0 if is_admitted else suppressed_lines + 1)
         if len(self.buckets) > MAX_EVENT_NAMES:
             self.buckets.popitem(last=False)
-        return left_out if is_admitted else None
+        return suppressed_lines if is_admitted else None
--- a/spanwing/log/writer.py
+++ b/spanwing/log/writer.py
@@ -1,7 +1,7 @@
-"""Writes lines to standard error without ever blocking the loop.
+"""Writes lines to standard error without blocking the event loop.
 
-enqueue() never waits. MAX_QUEUED_LINES (1000) lines at most are queued for a reader that does not read;
-further ones are dropped and counted, and the count is written once there is room. close() gives the queued
+enqueue() never waits. At most MAX_QUEUED_LINES (1000) lines are queued for a reader that does not read.
+Further lines are dropped and counted, and the count is written after the next line. close() gives the queued
 lines CLOSE_TIMEOUT_S (0.5 s) to be written.
 """
 
@@ -16,16 +16,16 @@
 
 
 class StderrWriter:
-    """Writes in a thread of its own; a terminal or pipe may block it as long as it likes."""
+    """Writes lines in a thread of its own, which a slow terminal or pipe may block."""
 
-    def __init__(self, descriptor: int = 2) -> None:
-        self.descriptor, self.dropped_lines = descriptor, 0
+    def __init__(self, fd: int = 2) -> None:
+        self.fd, self.dropped_lines = fd, 0
         self.lines: queue.Queue[bytes | None] = queue.Queue(MAX_QUEUED_LINES)
         self.thread = threading.Thread(target=self._write_lines, name="log", daemon=True)
         self.thread.start()
 
     def enqueue(self, line: str) -> None:
-        """Queues a line; drops and counts it if the queue is full."""
+        """Queues a line for the thread; drops and counts it if the queue is full."""
         try:
             self.lines.put_nowait(line.encode("utf-8", "replace") + b"\n")
         except queue.Full:
@@ -38,12 +38,12 @@
                 line += b"event=log_lost lines=%d\n" % dropped
             try:
                 while line:
-                    line = line[os.write(self.descriptor, line) :]
+                    line = line[os.write(self.fd, line) :]
             except OSError:
-                self.dropped_lines += 1  # nobody reads any more; the daemon continues
+                self.dropped_lines += 1  # the reader has gone; the daemon continues without its log
 
     def close(self) -> None:
-        """Ends the thread; waits 0.5 s at most for queued lines, and not at all if the queue is full."""
+        """Ends the thread after the queued lines; waits at most 0.5 s, or not at all if the queue is full."""
         try:
             self.lines.put_nowait(None)
         except queue.Full:
