--- a/spanwing/frontends/balancers/__init__.py
+++ b/spanwing/frontends/balancers/__init__.py
@@ -1,1 +1,1 @@
-"""Health protocols of common balancers, one module each, all from one verdict."""
+"""The health protocols of common load balancers; all report the same health verdict."""
--- a/spanwing/frontends/balancers/agent_check.py
+++ b/spanwing/frontends/balancers/agent_check.py
@@ -1,8 +1,9 @@
-"""Protocols whose client connects, reads one line and is closed: HAProxy's agent-check, and feedback agents.
+"""One-line health protocols: HAProxy's agent-check, and feedback agents of IPVS-like balancers.
 
-A line is written at once, whatever the peer sends, sends partly, or does not send. After it the connection is
-closed within CLOSE_TIMEOUT_S plus SWEEP_INTERVAL_S. At most MAX_CONNECTIONS at once; a further one evicts the
-one answered longest ago.
+The client connects, reads one line, and the connection is closed. The line is written at once, whatever the
+client sends, unless the listener expects a line that names a class. After the line the connection is closed
+within CLOSE_TIMEOUT_S plus TIMEOUT_CHECK_INTERVAL_S. A listener has at most MAX_CONNECTIONS; a further one
+evicts the connection that was answered longest ago.
 """
 
 from __future__ import annotations
@@ -17,17 +18,17 @@
 from spanwing.net.connection_table import RANK_FINISHED, ConnectionTable
 
 MAX_CONNECTIONS = 12  # connections to one listener
-CLOSE_TIMEOUT_S = 1.0
-REQUEST_TIMEOUT_S = 0.5  # wait for a line that names a class
-SWEEP_INTERVAL_S = 0.1  # between checks for expired connections
-MAX_REQUEST_BYTES = 256  # length of that line
+CLOSE_TIMEOUT_S = 1.0  # how long an answered connection may wait for the peer to close it
+REQUEST_TIMEOUT_S = 0.5  # how long to wait for a line that names a class
+TIMEOUT_CHECK_INTERVAL_S = 0.1
+MAX_REQUEST_BYTES = 256  # length of the line that names a class
 
 
 def agent_check_reply(verdict: HealthVerdict, class_name: str = "", maxconn: int | None = None) -> bytes:
-    """Returns the reply of HAProxy's agent-check (configuration manual): words, and a comment where allowed.
+    """Returns the reply to HAProxy's agent-check, in the words of HAProxy's configuration manual.
 
-    `ready` undoes an earlier `drain`; a weight of 0% keeps new sessions away. With class_name the reply is
-    for that class alone.
+    `ready` revokes an earlier `drain`; a weight of 0% makes HAProxy send no new sessions. A class_name limits
+    the reply to that class. maxconn adds the word `maxconn:`. The comment after `#` gives the reason.
     """
     if verdict.state in ("starting", "absent"):
         return f"down#{_comment_text(verdict.reason)}\n".encode()
@@ -43,18 +44,21 @@
 
 
 def feedback_reply(verdict: HealthVerdict, class_name: str = "", maxconn: int | None = None) -> bytes:
-    """Returns the reply for feedback agents of IPVS-like balancers: a bare percentage, 0% for no new work."""
+    """Returns the reply to a feedback agent of IPVS-like balancers: a percentage, or 0% for no new work.
+
+    maxconn is not used: the protocol has no place for it.
+    """
     weight = 0 if dict(verdict.classes).get(class_name, "") or not verdict.accepts_work else verdict.weight
     return b"%d%%\n" % weight
 
 
 def _comment_text(reason: str) -> str:
-    """Removes line ends, which would end the comment, and commas, which separate words."""
+    """Replaces line ends, which would end the comment, and commas, which separate words of the reply."""
     return " ".join(reason.replace(",", ";").split())
 
 
 class AgentCheckConnection:
-    """One connection: answered, then drained until the peer has closed or its time is over."""
+    """One connection: it is answered, then read until the peer closes it or CLOSE_TIMEOUT_S has passed."""
 
     def __init__(self, frontend: AgentCheckFrontend, sock: socket.socket) -> None:
         self.frontend, self.sock, self.loop = frontend, sock, IOLoop.current()
@@ -63,19 +67,18 @@
         self.loop.add_handler(sock, self._handle_readable, IOLoop.READ)
 
     def send_reply(self, class_name: str) -> None:
-        """Writes the line and closes the write side.
+        """Writes the reply for the class, or for the whole daemon if empty, and shuts down the write side.
 
-        Closing with unread input would send a reset, which may overtake the line: input is therefore
-        discarded.
+        The connection is not closed yet: closing it with unread input would send a reset, which may discard
+        the line at the peer. Further input is read and discarded instead.
         """
         self.is_finished, self.last_activity_s = True, self.loop.time()
         line = self.frontend.make_reply(
             self.frontend.verdict(), class_name, self.frontend.maxconn and self.frontend.maxconn()
         )
         try:
-            is_complete = self.sock.send(line) == len(
-                line
-            )  # the buffer is empty: all of it, or the peer is gone
+            # The send buffer is empty, so it accepts the whole line unless the peer has gone.
+            is_complete = self.sock.send(line) == len(line)
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
             is_complete = False
@@ -83,7 +86,7 @@
             self.close()
 
     def _handle_readable(self, *_: object) -> None:
-        """Reads once per turn of the loop, so that a fast sender cannot monopolize it."""
+        """Reads once per loop iteration, so that a fast sender cannot monopolize the loop."""
         try:
             data = self.sock.recv(4096)
         except BlockingIOError:
@@ -99,26 +102,29 @@
             self.close()
 
     def requested_class(self) -> str:
-        """Returns the class that `agent-send` names; empty: the whole daemon is meant."""
+        """Returns the class that HAProxy's `agent-send` names; empty for the whole daemon."""
         return self.data.split(b"\n")[0].strip().decode("ascii", "replace")
 
-    def enforce_timeouts(self, now: float) -> None:
-        """Replies or closes if its time is over; called every SWEEP_INTERVAL_S."""
-        if self.is_finished and now - self.last_activity_s >= CLOSE_TIMEOUT_S:
+    def enforce_timeouts(self, now_s: float) -> None:
+        """Replies if REQUEST_TIMEOUT_S has passed, closes if CLOSE_TIMEOUT_S has.
+
+        Called every TIMEOUT_CHECK_INTERVAL_S.
+        """
+        if self.is_finished and now_s - self.last_activity_s >= CLOSE_TIMEOUT_S:
             self.close()
-        elif not self.is_finished and now - self.last_activity_s >= REQUEST_TIMEOUT_S:
+        elif not self.is_finished and now_s - self.last_activity_s >= REQUEST_TIMEOUT_S:
             self.send_reply(self.requested_class())
 
     def eviction_rank(self, inactive_s: float) -> int | None:
-        """Returns RANK_FINISHED: any connection may be evicted."""
-        return RANK_FINISHED  # its line is written or about to be
+        """Returns RANK_FINISHED: any connection may be evicted, as its line is written or about to be."""
+        return RANK_FINISHED
 
     def has_no_pending_input(self) -> bool:
         """Returns True: unread input never prevents an eviction."""
         return True
 
     def close(self) -> None:
-        """Closes the connection and takes it off the table."""
+        """Closes the connection and removes it from the table."""
         if self.sock.fileno() >= 0:
             self.loop.remove_handler(self.sock)
             self.sock.close()
@@ -126,9 +132,9 @@
 
 
 class AgentCheckFrontend:
-    """Listens for one of the two protocols.
+    """The listener of one of the two protocols; make_reply returns the protocol's reply.
 
-    No coroutine, Future or stream is made for a check: they would cost several times the check itself.
+    It creates no coroutine, Future or stream for a check, as they would cost several times the check itself.
     """
 
     def __init__(
@@ -138,10 +144,10 @@
         make_reply: Callable[[HealthVerdict, str, int | None], bytes],
     ) -> None:
         self.verdict, self.make_reply = verdict, make_reply
-        self.maxconn: Callable[[], int] | None = None  # value of `maxconn:`
-        self.expects_class_name = False  # whether to wait for a line that names a class
+        self.maxconn: Callable[[], int] | None = None  # returns the value of `maxconn:`; None: not reported
+        self.expects_class_name = False  # whether to wait for a line that names a class before the reply
         self.table: ConnectionTable[AgentCheckConnection] = ConnectionTable(MAX_CONNECTIONS)
-        self.is_sweeping = False
+        self.is_timer_running = False
         self.listening_socket: ListeningSocket = listen(address, self._accept)
         self.address = self.listening_socket.address
 
@@ -153,18 +159,18 @@
         self.table.connections.add(connection)
         if not self.expects_class_name:
             connection.send_reply("")
-        if not self.is_sweeping and self.table.connections:
-            self.is_sweeping = True
-            IOLoop.current().call_later(SWEEP_INTERVAL_S, self._enforce_timeouts)
+        if not self.is_timer_running and self.table.connections:
+            self.is_timer_running = True
+            IOLoop.current().call_later(TIMEOUT_CHECK_INTERVAL_S, self._enforce_timeouts)
 
     def _enforce_timeouts(self) -> None:
-        """Checks all connections with one timer."""
-        now = IOLoop.current().time()
+        """Enforces the timeouts of all connections; one timer serves them all."""
+        now_s = IOLoop.current().time()
         for connection in list(self.table.connections):
-            connection.enforce_timeouts(now)
-        self.is_sweeping = bool(self.table.connections)
-        if self.is_sweeping:
-            IOLoop.current().call_later(SWEEP_INTERVAL_S, self._enforce_timeouts)
+            connection.enforce_timeouts(now_s)
+        self.is_timer_running = bool(self.table.connections)
+        if self.is_timer_running:
+            IOLoop.current().call_later(TIMEOUT_CHECK_INTERVAL_S, self._enforce_timeouts)
 
     def close(self) -> None:
         """Stops listening and closes all connections."""
--- a/spanwing/frontends/balancers/drain_watcher.py
+++ b/spanwing/frontends/balancers/drain_watcher.py
@@ -1,8 +1,8 @@
-"""Watches the replicated store for balancers' health: its majority, and drains ordered through it.
+"""Watches the replicated store for its quorum and for drain orders for this member.
 
-The local copy of this member's key is checked every LOCAL_CHECK_INTERVAL_S at no cost. A change there counts
-once a majority has confirmed it, and the key is confirmed every CONFIRM_INTERVAL_S in case the local copy
-missed a change. The majority is probed every QUORUM_CHECK_INTERVAL_S without a write to any disk.
+The local copy of this member's key is checked every LOCAL_CHECK_INTERVAL_S without I/O. A change there takes
+effect once a majority has confirmed it. The key is also confirmed every CONFIRM_INTERVAL_S, in case the local
+copy has missed a change. The quorum is probed every QUORUM_CHECK_INTERVAL_S without a write to any disk.
 """
 
 from __future__ import annotations
@@ -22,34 +22,34 @@
 
 
 class DrainOrder(msgspec.Struct):
-    """The drain order that the store holds for a member."""
+    """The drain order for a member, as it is kept in the store."""
 
-    drain: bool
-    by: str = ""
-    within_s: float | None = None
+    drain: bool  # False: the order is withdrawn
+    by: str = ""  # the member that wrote the order
+    within_s: float | None = None  # time until all requests are to be answered; None: no limit
 
 
 def drain_key(member: str) -> str:
-    """Returns the store's key for a member's drain order."""
+    """Returns the key under which the store keeps a member's drain order."""
     return f"drain/{member}"
 
 
 async def write_drain_order(store: Store, member: str, drain_order: DrainOrder) -> None:
-    """Writes an order for a member; raises NoQuorumError."""
+    """Writes the drain order for a member. Raises NoQuorumError if no majority of the store accepts it."""
     text = msgspec.json.encode(drain_order).decode()
     await store.change(drain_key(member), lambda _: text)
 
 
 class DrainWatcher:
-    """Follows the drain orders for this member."""
+    """Passes the drain orders for this member, and changes of the quorum, to the health reporter."""
 
     def __init__(self, store: Store, reporter: HealthReporter) -> None:
         self.store, self.reporter = store, reporter
-        self.has_quorum: bool | None = None
-        self.confirmed_value: str | None = None  # the last confirmed value
+        self.has_quorum: bool | None = None  # None: not probed yet
+        self.confirmed_value: str | None = None  # the key's value that was confirmed last
 
     async def run(self) -> None:
-        """Checks the key and the majority for ever, every LOCAL_CHECK_INTERVAL_S."""
+        """Checks the key and the quorum at their intervals; never returns."""
         key, ticks = drain_key(self.store.member), 0
         while True:
             if ticks % round(QUORUM_CHECK_INTERVAL_S / LOCAL_CHECK_INTERVAL_S) == 0:
@@ -69,9 +69,10 @@
             self.reporter.sample_soon()
 
     async def _confirm_order(self, key: str) -> None:
+        """Reads the key through a majority, and applies the order if it has changed."""
         try:
             value = await self.store.read_through_change(key)
-        except (NoQuorumError, OSError):  # OSError: of the local disk, to which a round writes
+        except (NoQuorumError, OSError):  # OSError: writing this member's state to its disk has failed
             return  # the last order stays in force
         if value == self.confirmed_value:
             return
@@ -79,7 +80,7 @@
         try:
             drain_order = msgspec.json.decode(value or '{"drain":false}', type=DrainOrder)
         except ValueError as error:
-            logger.warning("the order in the store cannot be read: %s", error)
+            logger.warning("ignoring an invalid drain order in the store: %s", error)
             return
         if drain_order.drain:
             within_s = float("inf") if drain_order.within_s is None else drain_order.within_s
