--- a/spanwing/frontends/balancers/health_checks.py
+++ b/spanwing/frontends/balancers/health_checks.py
@@ -1,11 +1,12 @@
-"""Health over HTTP, for HAProxy, NGINX, Envoy and keepalived.
+"""Health checks over HTTP, for HAProxy, NGINX, Envoy and keepalived.
 
-Readiness answers 200 exactly while new work is accepted, else 503; liveness answers 200 as long as the loop
-turns. The plain body depends on the state alone (keepalived compares digests). Status and headers are the
-same for GET, HEAD and OPTIONS.
+Readiness responds with 200 while new work is accepted, else with 503. Liveness responds with 200 as long as
+the event loop runs. The plain body depends only on the state, and on whether the class of the path is served,
+as keepalived compares digests of the body. GET, HEAD and OPTIONS get the same status and headers, except that
+only OPTIONS gets an Allow header.
 
 Sources: RFC 9110; Envoy's health checking and its `x-envoy-*` headers; draft-inadarei-api-health-check for
-the detail in JSON.
+the JSON body.
 """
 
 from __future__ import annotations
@@ -27,16 +28,16 @@
 
 
 def check_status(verdict: HealthVerdict) -> str:
-    """Returns the status in the terms of the JSON form: pass, warn or fail."""
+    """Returns the status in the terms of the JSON body: pass, warn or fail."""
     if not verdict.accepts_work:
         return "fail"
     return "pass" if verdict.state == "ready" else "warn"
 
 
 def health_report(reporter: HealthReporter) -> dict:
-    """Returns the complete state of health, for people and for `spanwing status`."""
+    """Returns the JSON body: the verdict with all signals, also used by `spanwing status`."""
     verdict, signals = reporter.verdict, reporter.health.signals
-    now = reporter.loop.time()
+    now_s = reporter.loop.time()
 
     def observed(value: float, unit: str) -> list[dict]:
         return [{"observedValue": round(value, 2), "observedUnit": unit}]
@@ -76,19 +77,19 @@
         "weight": verdict.weight,
         "notes": list(verdict.reasons),
         "output": verdict.reason,
-        "since_s": round(now - verdict.state_since_s, 3),
+        "since_s": round(now_s - verdict.state_since_s, 3),
         "checks": checks,
     }
 
 
 class HealthFrontend:
-    """Answers balancers' checks; it submits no requests."""
+    """Answers health checks; it submits no requests to the core."""
 
     def __init__(self, reporter: HealthReporter, counters: Callable[[], dict[str, int]]) -> None:
         self.reporter, self.counters = reporter, counters
 
     def parse_request(self, message: HttpMessage) -> JobRequest | HttpReply:
-        """Answers a check; never returns a request for the core."""
+        """Returns the reply to a health check; never returns a request for the core."""
         path, _, query = message.target.partition("?")
         class_name = path.removeprefix("/health/") if path.startswith("/health/") else ""
         is_known = (
@@ -110,13 +111,14 @@
         )
 
     def _readiness(self, class_name: str, as_json: bool, headers: dict[str, str]) -> HttpReply:
+        """Returns the reply on the readiness of a class, or of the daemon if class_name is empty."""
         verdict = self.reporter.verdict
         unserved_reason = dict(verdict.classes).get(class_name, "")
         is_up = verdict.accepts_work and not unserved_reason
         if verdict.state in ("draining", "drained"):
-            # Envoy stops at once, without waiting for its failure threshold.
+            # Envoy then stops sending at once, without waiting for its failure threshold.
             headers["x-envoy-immediate-health-check-fail"] = "true"
-        elif is_up and verdict.state == "short":  # Envoy prefers others while enough of them are healthy
+        elif is_up and verdict.state == "short":  # Envoy prefers other hosts while enough of them are healthy
             headers["x-envoy-degraded"] = "true"
         status = 200 if is_up else 503
         if as_json:
@@ -126,5 +128,8 @@
         return status, text.encode(), headers
 
     def render_answer(self, answer: FinalAnswer, keep_alive: bool) -> bytes:
-        """Encodes the readiness for a connection that finds no room, as its most likely request."""
+        """Encodes the readiness reply for a connection that is rejected before its request is read.
+
+        A check of readiness is its most likely request.
+        """
         return encode_response(*self._readiness("", False, {})[:2], keep_alive)
--- a/spanwing/frontends/balancers/health_reporter.py
+++ b/spanwing/frontends/balancers/health_reporter.py
@@ -1,9 +1,9 @@
 """Samples the daemon, updates the health state machine, and notifies subscribers.
 
-Samples are SAMPLE_INTERVAL_S apart. While the load is low they are CALM_SAMPLE_INTERVAL_S apart, and one is
-also taken as soon as the loop has been busy for BUSY_ALARM_S, the endpoint list changes or the store's
-majority changes. Subscribers are notified of every change of the announced verdict in the same turn of the
-loop, a drain included. Nothing here is created before a balancer protocol is opened.
+A sample is taken every SAMPLE_INTERVAL_S, or every CALM_SAMPLE_INTERVAL_S while the load is low. One is also
+taken as soon as the event loop has been busy for BUSY_ALARM_S, the endpoint list changes, or the store gains
+or loses its majority. Subscribers are notified of every change of the announced verdict, also by a drain, in
+the same loop iteration. The reporter exists only if a protocol for balancers is enabled.
 """
 
 from __future__ import annotations
@@ -25,24 +25,20 @@
 from spanwing.log import log_event
 from spanwing.net.loop_meter import MeteredSelector
 
-SAMPLE_INTERVAL_S, CALM_SAMPLE_INTERVAL_S = (
-    0.05,
-    1.0,
-)  # between samples; the longer one while the load is low
-CALM_CPU_RATIO = 0.12  # upper bound of the busy part of the loop's time for a low load
-BUSY_ALARM_S, FREQUENT_SAMPLES_S = (
-    CALM_CPU_RATIO * CALM_SAMPLE_INTERVAL_S,
-    1.0,
-)  # busy time since a sample that raises the alarm; samples are frequent this long after it
-FULL_SAMPLE_INTERVAL_S = 0.25  # between full samples; others read only CPU and outstanding requests
+# Intervals between samples; the second one applies while the load is low.
+SAMPLE_INTERVAL_S, CALM_SAMPLE_INTERVAL_S = 0.05, 1.0
+CALM_CPU_RATIO = 0.12  # the load is low up to this ratio of the event loop's busy time to all time
+# Busy time since the last sample that triggers one early, and how long samples are frequent after that.
+BUSY_ALARM_S, FREQUENT_SAMPLES_S = CALM_CPU_RATIO * CALM_SAMPLE_INTERVAL_S, 1.0
+FULL_SAMPLE_INTERVAL_S = 0.25  # samples in between read only the CPU usage and the outstanding requests
 PAGE_SIZE_MB = os.sysconf("SC_PAGE_SIZE") / 1024 / 1024
 
 
 class WorkFrontend(Protocol):
-    """A frontend that accepts work."""
+    """A frontend that accepts requests from clients."""
 
     def announce_drain(self) -> None:
-        """Starts a drain, announced with every answer."""
+        """Starts the notice period of a drain: the frontend tells its clients of the drain."""
 
     def drain(self, reject_new: bool) -> None:
         """Ends the notice period: closes idle connections, and rejects new work if reject_new is set."""
@@ -52,7 +48,7 @@
 
 
 class DaemonGauges(Protocol):
-    """Figures that only the daemon's other parts have."""
+    """Values that the reporter reads from other components of the daemon."""
 
     def client_connections(self) -> ResourceUsage:
         """Returns the use of the table of client connections."""
@@ -67,19 +63,22 @@
         """Returns the memory limit in MB."""
 
     def has_store_quorum(self) -> bool | None:
-        """Returns whether the store has a majority; None: not known, or no shared store."""
+        """Returns whether the store has a majority; None if that is unknown or no store is shared."""
 
     def classes_needing_store(self) -> frozenset[str]:
         """Returns the classes that are accepted only with a majority of the store."""
 
 
 def resident_memory_mb(statm_fd: int) -> float:
-    """Returns the resident memory from an open /proc/self/statm; its second figure is the pages."""
+    """Returns the resident memory in MB; statm_fd is an open /proc/self/statm."""
     return int(os.pread(statm_fd, 128, 0).split()[1]) * PAGE_SIZE_MB
 
 
 class HealthReporter:
-    """Owns the health state machine of this daemon."""
+    """Feeds the health state machine of this daemon, and announces its verdicts.
+
+    Without a loop_meter the event loop's busy time is unknown, and samples are always frequent.
+    """
 
     def __init__(
         self,
@@ -105,40 +104,42 @@
 
     @property
     def verdict(self) -> HealthVerdict:
-        """Returns the verdict announced last."""
+        """The verdict announced last."""
         return self.announced_verdict
 
     def subscribe(self, subscriber: Callable[[HealthVerdict], None]) -> Callable[[], None]:
-        """Calls the subscriber at every change from now on; returns the function that unsubscribes."""
+        """Calls the subscriber with each changed verdict; returns a function that unsubscribes it."""
         self.subscribers.add(subscriber)
         return lambda: self.subscribers.discard(subscriber)
 
     def drain(self, source: DrainSource, within_s: float = math.inf) -> None:
-        """Announces a drain to every protocol at once; within_s is its time limit in s."""
+        """Adds the drain order of a source, and announces the drain by every protocol at once.
+
+        All requests are to be answered within within_s seconds.
+        """
         now = self.loop.time()
         self._publish(self.health.drain(source, now, within_s))
-        if (
-            notice_ends_at_s := self.health.drain_orders.notice_ends_at_s
-        ) > now:  # exactly then, not with the next sample
+        # The frontends are updated exactly at the end of the notice period, not with the next sample.
+        if (notice_ends_at_s := self.health.drain_orders.notice_ends_at_s) > now:
             self.loop.call_at(notice_ends_at_s, self._update_frontends)
 
     def undrain(self, source: DrainSource) -> bool:
-        """Withdraws a drain; returns whether another one is left."""
+        """Withdraws the drain order of a source; returns whether the daemon is still draining."""
         self._publish(self.health.undrain(source, self.loop.time()))
         return self.health.drain_orders.is_draining
 
     def set_weight(self, percent: float) -> None:
-        """Limits the announced weight to this percentage."""
+        """Sets the operator's upper bound of the weight in percent; raises ValueError outside 0 to 100."""
         self._publish(self.health.set_weight(percent, self.loop.time()))
 
     def remaining_s(self) -> float:
-        """Returns how long (s) work accepted now may take; infinite without a drain with an end."""
+        """Returns the seconds left until the earliest deadline of a drain; infinity if there is none."""
         return self.health.drain_orders.earliest_deadline_s - self.loop.time()
 
     def _handle_sample_timer(self) -> None:
         try:
             self._take_sample()
-        finally:  # a fault in one sample must not end the sampling: the verdict would never change again
+        finally:  # an exception in one sample must not end the sampling, or the verdict would never change
             now = self.loop.time()
             interval_s = SAMPLE_INTERVAL_S
             if (
@@ -153,12 +154,12 @@
             self.sample_timer = self.loop.call_at(self.next_sample_s, self._handle_sample_timer)
 
     def _handle_busy_alarm(self) -> None:
-        """Samples frequently for FREQUENT_SAMPLES_S: the loop is busy again."""
+        """Samples frequently for FREQUENT_SAMPLES_S, as the event loop is busy again."""
         self.frequent_samples_until_s = self.loop.time() + FREQUENT_SAMPLES_S
         self.sample_soon()
 
     def sample_soon(self) -> None:
-        """Takes a full sample in the next turn of the loop, as a sampled figure has changed."""
+        """Takes a full sample in the next loop iteration; called when a sampled value has changed."""
         now = self.loop.time()
         if self.next_sample_s > now:
             self.loop.remove_timeout(self.sample_timer)
@@ -166,9 +167,10 @@
             self.sample_timer = self.loop.call_at(now, self._handle_sample_timer)
 
     def _take_sample(self) -> None:
+        """Reads the CPU usage, and all signals if a full sample is due; publishes the verdict."""
         now = self.loop.time()
         busy_s = self.loop_meter.busy_s() if self.loop_meter else None
-        # A timer is late from the loop's own work or from lack of CPU; the meter tells them apart.
+        # A timer is late because of the loop's own work or a lack of CPU; the CPU meter distinguishes them.
         self.cpu_meter.cores = self.gauges.cpu_cores()
         reading = CpuReading(now, time.process_time(), busy_s, max(0.0, now - self.next_sample_s))
         self.cpu_usage = self.cpu_meter.add_reading(reading)
@@ -184,11 +186,11 @@
             )
 
     def outstanding_requests(self) -> int:
-        """Returns the number of requests that are owed an answer."""
+        """Returns the number of pending requests plus attempts in flight."""
         return len(self.request_manager.pending_requests) + len(self.request_manager.in_flight)
 
     def collect_signals(self) -> HealthSignals:
-        """Reads all signals of the health state machine."""
+        """Reads all signals of a full sample."""
         request_manager, needing_store = self.request_manager, self.gauges.classes_needing_store()
         queued, unavailable = request_manager.queued_by_class(), request_manager.unavailable_classes()
         counters = request_manager.counters
@@ -224,6 +226,7 @@
         )
 
     def _publish(self, verdict: HealthVerdict) -> None:
+        """Makes a verdict the announced one; logs it and notifies subscribers if its fields have changed."""
         self._update_frontends()
         previous, self.announced_verdict = self.announced_verdict, verdict
         if verdict.published_fields == previous.published_fields:
@@ -234,18 +237,21 @@
                 state=verdict.state,
                 was=previous.state,
                 weight=verdict.weight,
-                reason=verdict.reason or "enough of everything",
+                reason=verdict.reason or "no shortage",
             )
         elif verdict.classes != previous.classes:
             log_event(
                 "classes",
                 unserved=[name for name, reason in verdict.classes if reason],
-                reason=next((reason for _, reason in verdict.classes if reason), "all served again"),
+                reason=next(
+                    (reason for _, reason in verdict.classes if reason), "all classes are served again"
+                ),
             )
         for subscriber in list(self.subscribers):
             subscriber(verdict)
 
     def _update_frontends(self) -> None:
+        """Tells the frontends of a new phase of the drain."""
         phase = self.health.drain_orders.phase(self.loop.time())
         if phase == self.drain_phase:
             return
