--- a/spanwing/frontends/balancers/listeners.py
+++ b/spanwing/frontends/balancers/listeners.py
@@ -1,7 +1,7 @@
-"""All listeners for balancers and the operator: opened at the start, changed by a reload.
+"""The listeners for balancers and for the operator's commands, opened at the start and changed by a reload.
 
-A reload opens the new listeners before it closes old ones, and if one cannot be opened nothing changes. A
-listener whose address stays is not touched.
+A reload opens all new listeners before it closes old ones; if one cannot be opened, nothing changes. A
+listener whose address has not changed stays open with its connections.
 """
 
 from __future__ import annotations
@@ -20,11 +20,16 @@
 from spanwing.net.buffers import BufferPool
 from spanwing.net.proxied_connections import Network
 
-MAX_HEALTH_CONNECTIONS = 12  # connections of the health listener
+MAX_HEALTH_CONNECTIONS = 12  # connections to the HTTP listener for health checks
 
 
 class Listeners:
-    """Owns the open listeners."""
+    """Owns the open listeners.
+
+    counters: returns the daemon's counters. maxconn: returns the number of connections that the agent-check
+    reports. order_drain: orders a drain through the store, or its end. zones, policy: the commands on zones
+    and policies; None if these are not enabled.
+    """
 
     def __init__(
         self,
@@ -53,16 +58,13 @@
             proxy_sources,
         )
         self.policy = policy
-        self.journal_directory, self.zones = (
-            journal_directory,
-            zones,
-        )  # the journal's folder; zones None: not enabled
-        self.open_listeners: dict[str, tuple[Any, Any]] = {}  # by name: its settings, and the frontend
+        self.journal_directory, self.zones = journal_directory, zones
+        self.open_listeners: dict[str, tuple[Any, Any]] = {}  # by name: settings and frontend
 
     def reconfigure(self, settings: BalancerSettings) -> list[tuple[str, str]]:
         """Opens and closes listeners to match the settings.
 
-        Returns the names and addresses of the new ones. Raises ConfigError.
+        Returns the names and addresses of new listeners. Raises ConfigurationError if one cannot be opened.
         """
         requested = {
             "health": settings.health,
@@ -85,58 +87,57 @@
                 frontend.close()
                 del self.open_listeners[name]
         self.open_listeners.update(opened)
-        if settings.agent_check is not None:  # its reply settings may change while its address stays
+        if settings.agent_check is not None:  # the settings of its reply apply without a new listener
             frontend = self.open_listeners["agent_check"][1]
             frontend.maxconn = self.maxconn if settings.agent_check.reports_maxconn else None
             frontend.expects_class_name = settings.agent_check.expects_class_name
             self.open_listeners["agent_check"] = settings.agent_check, frontend
         self.reporter.health.update_settings(settings.health_policy)
-        return [(name, str(front.address)) for name, (_, front) in opened.items()]
+        return [(name, str(frontend.address)) for name, (_, frontend) in opened.items()]
 
     def _is_unchanged(self, name: str, settings: Any) -> bool:
-        """Returns whether a listener is open at the right address."""
+        """Returns whether the listener is open at the address of these settings."""
         if name not in self.open_listeners:
             return False
         previous = self.open_listeners[name][0]
         return previous.listen == settings.listen if name == "agent_check" else previous == settings
 
     def frontends(self) -> list[Any]:
-        """Returns all open frontends; each has a table of its connections."""
-        return [front for _, front in self.open_listeners.values()]
+        """Returns the frontends of all open listeners; each has a table of its connections."""
+        return [frontend for _, frontend in self.open_listeners.values()]
 
     def _open_listener(self, name: str, settings: Any) -> Any:
         try:
-            return getattr(self, f"_{name}")(settings)
+            return getattr(self, f"_open_{name}")(settings)
         except OSError as error:
             setting = "admin.socket" if name == "admin" else f"{name}.listen"
-            where = settings.listen if name == "agent_check" else settings
-            raise ConfigurationError(f"{setting}: cannot listen on {where}: {error.strerror}") from None
+            address = settings.listen if name == "agent_check" else settings
+            raise ConfigurationError(f"{setting}: cannot listen on {address}: {error.strerror}") from None
 
-    def _health(self, address):
-        front = HealthFrontend(self.reporter, self.counters)
+    def _open_health(self, address):
+        frontend = HealthFrontend(self.reporter, self.counters)
         return HttpServer(
             address,
-            front,
+            frontend,
             self.request_manager,
             self.buffers,
             max_connections=MAX_HEALTH_CONNECTIONS,
             proxy_sources=self.proxy_sources,
         )
 
-    def _agent_check(self, agent):
-        return AgentCheckFrontend(agent.listen, lambda: self.reporter.verdict, agent_check_reply)
+    def _open_agent_check(self, settings):
+        return AgentCheckFrontend(settings.listen, lambda: self.reporter.verdict, agent_check_reply)
 
-    def _feedback(self, address):
+    def _open_feedback(self, address):
         return AgentCheckFrontend(address, lambda: self.reporter.verdict, feedback_reply)
 
-    def _grpc(self, address):
-        from spanwing.frontends.balancers.grpc_health import (
-            GrpcFrontend,
-        )  # loads h2 only where this is enabled
+    def _open_grpc(self, address):
+        # Imported here so that h2 is loaded only if gRPC health is enabled.
+        from spanwing.frontends.balancers.grpc_health import GrpcFrontend
 
         return GrpcFrontend(address, lambda: self.reporter.verdict, self.reporter.subscribe, self.buffers)
 
-    def _admin(self, path):
+    def _open_admin(self, path):
         return AdminFrontend(
             path,
             self.name,
--- a/spanwing/frontends/balancers/service.py
+++ b/spanwing/frontends/balancers/service.py
@@ -1,7 +1,7 @@
-"""Health reporter, listeners and store watch together; loaded only where one of them is enabled.
+"""Combines the health reporter, the listeners and the drain watcher; imported only if a listener is enabled.
 
-The sampled figures are those of the daemon's own tables, read when needed. Orders for other members go
-through the store and need its majority.
+The reporter reads the sampled values from the daemon's own tables. Drain orders for other members go through
+the store and need a majority of it.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
     cpu_cores: float
     memory_mb: float
     sockets: int
-    reserved_sockets: int  # used neither for clients nor for workers
+    reserved_sockets: int  # descriptors that neither clients nor workers may use
 
 
 class DaemonParts(NamedTuple):
-    """The daemon's parts whose state is reported."""
+    """The components of the daemon whose state is reported."""
 
     name: str
     request_manager: RequestManager
@@ -47,13 +47,13 @@
     buffers: BufferPool
     counters: Callable[[], dict[str, int]]
     proxy_sources: tuple[Network, ...]
-    journal_directory: str = ""  # the journal's folder
-    zones: ZoneOrders | None = None
-    policy: PolicyOrders | None = None
+    journal_directory: str = ""  # empty: no journal
+    zones: ZoneOrders | None = None  # None: not enabled
+    policy: PolicyOrders | None = None  # None: not enabled
 
 
 class BalancerService:
-    """Owns the reporter, the listeners and the watch on the store."""
+    """Owns the health reporter, the listeners and the drain watcher."""
 
     def __init__(
         self,
@@ -87,16 +87,21 @@
             spawn_task(self.drain_watcher.run())
 
     async def order_drain(self, member: str, drain: bool, within_s: float | None) -> None:
-        """Orders a drain of any member, or its end, through the store; raises AdminError."""
+        """Orders a drain of any member, or its end, through the store.
+
+        Raises AdminError if there is no shared store, no such member, or no majority of the store.
+        """
         store = self.parts.store
         if not store.peers:
-            raise AdminError("there is no shared store here: drain each daemon by its own socket")
+            raise AdminError(
+                "this daemon has no shared store: drain each daemon through its own admin socket"
+            )
         if member != store.member and member not in store.peer_names:
-            raise AdminError(f"{member!r} is no member of the store")
+            raise AdminError(f"{member!r} is not a member of the store")
         try:
             await write_drain_order(store, member, DrainOrder(drain, store.member, within_s))
-        except NoQuorumError as reason:
-            raise AdminError(f"the store has no majority: {reason}") from None
+        except NoQuorumError as error:
+            raise AdminError(f"the store has no majority: {error}") from None
 
     def client_connections(self) -> ResourceUsage:
         """Returns the use of the table of client connections."""
@@ -104,7 +109,7 @@
         return ResourceUsage(len(table.connections), table.max_connections)
 
     def descriptors(self) -> ResourceUsage:
-        """Returns the use of file descriptors: listeners, connections and the reserve."""
+        """Returns the use of file descriptors by listeners and connections, including those reserved."""
         frontends = [
             self.parts.http_server,
             *([self.parts.faktory_frontend] if self.parts.faktory_frontend else []),
@@ -126,7 +131,7 @@
         return self.limits().memory_mb
 
     def has_store_quorum(self) -> bool | None:
-        """Returns whether the store has a majority; None without a shared store."""
+        """Returns whether the store has a majority; None if that is unknown or no store is shared."""
         return None if self.drain_watcher is None else self.drain_watcher.has_quorum
 
     def classes_needing_store(self) -> frozenset[str]:
