--- a/tests/test_golden_log.py
+++ b/tests/test_golden_log.py
@@ -1,4 +1,7 @@
-"""The names of the events in the log and their keys, as operators' scripts look for them, against a list."""
+"""Compares the names and fields of log events, and the texts of other log calls, with a golden list.
+
+Guards against a change of a name that operators' scripts search the log for.
+"""
 
 from __future__ import annotations
 
@@ -7,28 +10,28 @@
 from goldenfiles import compare_text
 from player import ROOT
 
-OF_THE_LOG = {"level", "rate_limited"}  # how it is told, not what
+CONTROL_ARGUMENTS = {"level", "rate_limited"}  # arguments of log_event() that are not fields of the event
 
 
-def told_in(tree: ast.AST) -> list[str]:
-    """`event key key ...` of each call of log_event(), as written in the code."""
-    found: list[str] = []
+def find_events(tree: ast.AST) -> list[str]:
+    """Returns `event field field ...` for each call of log_event() in the code."""
+    found_lines: list[str] = []
     imported = {
         each.name for node in ast.walk(tree) if isinstance(node, ast.ImportFrom) for each in node.names
     }
-    if "log_event" not in imported:  # another function of this name
-        return found
+    if "log_event" not in imported:  # the module defines another function of this name
+        return found_lines
     for node in ast.walk(tree):
         if isinstance(node, ast.Call) and isinstance(node.func, ast.Name) and node.func.id == "log_event":
             event = node.args[0].value if node.args and isinstance(node.args[0], ast.Constant) else "?"
-            keys = sorted(each.arg or "**" for each in node.keywords if each.arg not in OF_THE_LOG)
-            found.append(" ".join([str(event), *keys]))
-    return found
+            keys = sorted(each.arg or "**" for each in node.keywords if each.arg not in CONTROL_ARGUMENTS)
+            found_lines.append(" ".join([str(event), *keys]))
+    return found_lines
 
 
-def logged_in(tree: ast.AST) -> list[str]:
-    """The texts that are given to the standard library's log: `log.warning("...")`."""
-    found = []
+def find_log_texts(tree: ast.AST) -> list[str]:
+    """Returns `level: text` for each call of the standard library's log, such as `log.warning("...")`."""
+    found_lines = []
     for node in ast.walk(tree):
         if (
             isinstance(node, ast.Call)
@@ -38,13 +41,13 @@
             and node.func.attr in ("debug", "info", "warning", "error", "exception", "critical")
         ):
             text = node.args[0].value if node.args and isinstance(node.args[0], ast.Constant) else "?"
-            found.append(f"{node.func.attr}: {text}")
-    return found
+            found_lines.append(f"{node.func.attr}: {text}")
+    return found_lines
 
 
-def test_events_and_their_keys_are_those_of_the_list() -> None:
+def test_event_names_fields_and_log_texts_match_the_golden_list() -> None:
     trees = [ast.parse(each.read_text()) for each in sorted((ROOT / "spanwing").rglob("*.py"))]
-    events = sorted({line for tree in trees for line in told_in(tree)})
-    lines = sorted({line for tree in trees for line in logged_in(tree)})
+    events = sorted({line for tree in trees for line in find_events(tree)})
+    lines = sorted({line for tree in trees for line in find_log_texts(tree)})
     assert not [each for each in events + lines if "?" in each.split(" ")[:2]]
     compare_text("log_events.txt", "\n".join([*events, "", *lines, ""]))
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,4 +1,8 @@
-"""The pure deciders of what balancers are told, driven by samples and by a clock of the tests."""
+"""Tests of the health state machine and the CPU meter, with constructed samples and simulated time.
+
+They guard against a shortage that is reported late or with no reason, against a weight that falls below the
+floor or rises too fast, and against drains that end too early or too late.
+"""
 
 from __future__ import annotations
 
@@ -14,165 +18,181 @@
 
 CLASSES = (ClassLoad("status-read", 150.0), ClassLoad("setpoint-push", 300.0, "big-box"))
 FLEET = (WorkerCounts("a", "big-box", 4, 4), WorkerCounts("a", "old-box", 4, 4))
-CALM = HealthSignals(CpuUsage(0.1, 0.1, 0.0, 1.0), CLASSES, FLEET, "a")
-STEP_S = 0.05
+CALM_SIGNALS = HealthSignals(CpuUsage(0.1, 0.1, 0.0, 1.0), CLASSES, FLEET, "a")
+SAMPLE_INTERVAL_S = 0.05
 
 
-class Run:
-    """One daemon's health under samples every 50 ms."""
+class HealthRun:
+    """The health of one daemon that is sampled every 50 ms; is_settled: after 20 s without a shortage."""
 
-    def __init__(self, policy: HealthSettings | None = None, settled: bool = True) -> None:
+    def __init__(self, policy: HealthSettings | None = None, is_settled: bool = True) -> None:
         self.now, self.health = 100.0, HealthStateMachine(policy or HealthSettings(), 100.0)
-        self.told = [self.health.verdict]
-        if settled:
-            self.go(20.0, CALM)
+        self.verdicts = [self.health.verdict]
+        if is_settled:
+            self.observe_for(20.0, CALM_SIGNALS)
 
-    def go(self, seconds: float, signals: HealthSignals):
+    def observe_for(self, seconds: float, signals: HealthSignals):
+        """Observes the same signals for some seconds and returns the last verdict."""
         end = self.now + seconds
         while self.now < end - 1e-9:
-            self.now += STEP_S
-            self.told.append(self.health.observe(self.now, signals))
-        return self.told[-1]
+            self.now += SAMPLE_INTERVAL_S
+            self.verdicts.append(self.health.observe(self.now, signals))
+        return self.verdicts[-1]
 
 
-class States(unittest.TestCase):
-    def test_start_is_slow_and_ends_ready(self) -> None:
-        run = Run(settled=False)
-        self.assertEqual(run.go(1.0, HealthSignals(endpoints_known=False)).state, "starting")
-        first = run.go(STEP_S, CALM)
+class StateTests(unittest.TestCase):
+    def test_a_start_begins_with_a_slow_start_and_becomes_ready(self) -> None:
+        run = HealthRun(is_settled=False)
+        self.assertEqual(run.observe_for(1.0, HealthSignals(endpoints_known=False)).state, "starting")
+        first = run.observe_for(SAMPLE_INTERVAL_S, CALM_SIGNALS)
         self.assertEqual((first.state, first.weight), ("weighted", 10))
         self.assertIn("slow start", first.reasons)
-        self.assertLess(run.go(3.0, CALM).weight, 50)
-        self.assertEqual((run.go(10.0, CALM).state, run.told[-1].weight), ("ready", 100))
+        self.assertLess(run.observe_for(3.0, CALM_SIGNALS).weight, 50)
+        self.assertEqual((run.observe_for(10.0, CALM_SIGNALS).state, run.verdicts[-1].weight), ("ready", 100))
 
-    def test_no_list_in_time_is_absence(self) -> None:
-        run = Run(settled=False)
-        self.assertEqual(run.go(5.2, HealthSignals(endpoints_known=False)).state, "absent")
+    def test_absent_without_an_endpoint_list_in_time(self) -> None:
+        run = HealthRun(is_settled=False)
+        self.assertEqual(run.observe_for(5.2, HealthSignals(endpoints_known=False)).state, "absent")
 
-    def test_short_of_cpu_is_said_at_once_and_weight_follows_what_is_stolen(self) -> None:
-        run = Run()
-        stolen = CALM._replace(cpu=CpuUsage(0.25, 1.0, 0.75, 40.0))
-        verdict = run.go(STEP_S, stolen)
+    def test_a_cpu_shortage_is_reported_at_once_and_stolen_time_reduces_the_weight(self) -> None:
+        run = HealthRun()
+        stolen = CALM_SIGNALS._replace(cpu=CpuUsage(0.25, 1.0, 0.75, 40.0))
+        verdict = run.observe_for(SAMPLE_INTERVAL_S, stolen)
         self.assertEqual(verdict.state, "short")
         self.assertIn("others take 75%", verdict.reason)
-        self.assertLess(run.go(1.4, stolen).weight, 30)
-        own = Run()
-        self.assertIn("busy 100%", own.go(STEP_S, CALM._replace(cpu=CpuUsage(1.0, 1.0, 0.0, 90.0))).reason)
-
-    def test_shortage_never_goes_below_the_floor_and_ends_with_hysteresis(self) -> None:
-        run = Run()
-        short = CALM._replace(cpu=CpuUsage(0.25, 1.0, 0.75, 400.0))
-        pause = CALM._replace(cpu=CpuUsage(0.25, 0.9, 0.6, 90.0))
-        self.assertEqual(run.go(0.1, pause).state, "ready")  # one pause of the machine is no shortage
-        self.assertEqual(run.go(0.2, pause).state, "short")
-        self.assertEqual((run.go(60.0, short).state, run.told[-1].weight), ("short", 10))
-        self.assertEqual(run.go(1.0, CALM).state, "short")  # not yet easy for long enough
+        self.assertLess(run.observe_for(1.4, stolen).weight, 30)
+        overloaded = HealthRun()
+        self.assertIn(
+            "busy 100%",
+            overloaded.observe_for(
+                SAMPLE_INTERVAL_S, CALM_SIGNALS._replace(cpu=CpuUsage(1.0, 1.0, 0.0, 90.0))
+            ).reason,
+        )
+
+    def test_a_shortage_keeps_the_floor_and_ends_with_hysteresis(self) -> None:
+        run = HealthRun()
+        short = CALM_SIGNALS._replace(cpu=CpuUsage(0.25, 1.0, 0.75, 400.0))
+        pause = CALM_SIGNALS._replace(cpu=CpuUsage(0.25, 0.9, 0.6, 90.0))
+        self.assertEqual(run.observe_for(0.1, pause).state, "ready")  # shorter than short_ms
+        self.assertEqual(run.observe_for(0.2, pause).state, "short")
+        self.assertEqual((run.observe_for(60.0, short).state, run.verdicts[-1].weight), ("short", 10))
+        self.assertEqual(run.observe_for(1.0, CALM_SIGNALS).state, "short")  # shorter than ease_ms
         self.assertEqual(
-            run.go(5.0, CALM._replace(cpu=CpuUsage(0.7, 0.7))).state, "short"
-        )  # between the marks
-        self.assertEqual(run.go(2.2, CALM).state, "weighted")
-        self.assertEqual(run.go(30.0, CALM).state, "ready")
+            run.observe_for(5.0, CALM_SIGNALS._replace(cpu=CpuUsage(0.7, 0.7))).state, "short"
+        )  # a demand between ease_at and short_at
+        self.assertEqual(run.observe_for(2.2, CALM_SIGNALS).state, "weighted")
+        self.assertEqual(run.observe_for(30.0, CALM_SIGNALS).state, "ready")
 
-    def test_four_schedulers_that_are_all_short_all_stay(self) -> None:
-        runs = [Run() for _ in range(4)]
+    def test_four_schedulers_that_are_all_short_all_accept_work(self) -> None:
+        runs = [HealthRun() for _ in range(4)]
         for _ in range(600):
             for run in runs:
-                run.go(STEP_S, CALM._replace(cpu=CpuUsage(0.2, 1.0, 0.8, 500.0)))
-            self.assertTrue(all(run.told[-1].accepts_work and run.told[-1].weight >= 10 for run in runs))
-
-    def test_a_kind_that_is_gone_counts_for_its_class_alone(self) -> None:
-        run = Run()
-        gone = CALM._replace(workers=(WorkerCounts("a", "big-box", 4, 0), WorkerCounts("a", "old-box", 4, 4)))
-        verdict = run.go(2.0, gone)
+                run.observe_for(SAMPLE_INTERVAL_S, CALM_SIGNALS._replace(cpu=CpuUsage(0.2, 1.0, 0.8, 500.0)))
+            self.assertTrue(
+                all(run.verdicts[-1].accepts_work and run.verdicts[-1].weight >= 10 for run in runs)
+            )
+
+    def test_a_lost_worker_kind_affects_only_its_class(self) -> None:
+        run = HealthRun()
+        kind_lost = CALM_SIGNALS._replace(
+            workers=(WorkerCounts("a", "big-box", 4, 0), WorkerCounts("a", "old-box", 4, 4))
+        )
+        verdict = run.observe_for(2.0, kind_lost)
         self.assertEqual((verdict.state, dict(verdict.classes)["status-read"]), ("weighted", ""))
         self.assertIn("big-box", dict(verdict.classes)["setpoint-push"])
         self.assertLess(verdict.weight, 60)
-        verdict = run.go(0.1, CALM._replace(workers=()))
+        verdict = run.observe_for(0.1, CALM_SIGNALS._replace(workers=()))
         self.assertEqual((verdict.state, verdict.weight), ("absent", 0))
-        self.assertEqual(run.go(STEP_S, CALM).weight, 10)  # what comes back begins slowly
+        self.assertEqual(run.observe_for(SAMPLE_INTERVAL_S, CALM_SIGNALS).weight, 10)  # a slow start begins
 
-    def test_the_stores_majority_counts_where_a_class_needs_it(self) -> None:
-        run = Run()
-        needs = (CLASSES[0], CLASSES[1]._replace(needs_store=True))
-        self.assertEqual(run.go(1.0, CALM._replace(has_store_quorum=False)).state, "ready")
-        verdict = run.go(1.0, CALM._replace(classes=needs, has_store_quorum=False))
+    def test_a_lost_store_majority_affects_only_classes_that_need_it(self) -> None:
+        run = HealthRun()
+        classes = (CLASSES[0], CLASSES[1]._replace(needs_store=True))
+        self.assertEqual(run.observe_for(1.0, CALM_SIGNALS._replace(has_store_quorum=False)).state, "ready")
+        verdict = run.observe_for(1.0, CALM_SIGNALS._replace(classes=classes, has_store_quorum=False))
         self.assertIn("no majority", dict(verdict.classes)["setpoint-push"])
 
-    def test_a_class_that_is_turned_away_counts_as_unserved_and_the_others_go_on(self) -> None:
-        run = Run()
+    def test_a_class_that_is_rejected_is_unserved_and_the_others_are_served(self) -> None:
+        run = HealthRun()
         classes = (CLASSES[0], CLASSES[1]._replace(rejection_reason="journal: No space left on device"))
-        verdict = run.go(1.0, CALM._replace(classes=classes))
+        verdict = run.observe_for(1.0, CALM_SIGNALS._replace(classes=classes))
         self.assertIn("No space left", dict(verdict.classes)["setpoint-push"])
         self.assertEqual(dict(verdict.classes)["status-read"], "")
         self.assertLess(verdict.weight, 100)
 
     def test_each_shortage_has_its_reason(self) -> None:
-        waits = (CLASSES[0]._replace(queued=7, oldest_queued_ms=200.0), CLASSES[1])
-        for changes, word in (
+        queued_classes = (CLASSES[0]._replace(queued=7, oldest_queued_ms=200.0), CLASSES[1])
+        for changes, expected in (
             ({"client_connections": ResourceUsage(95, 100)}, "connection table"),
             ({"descriptors": ResourceUsage(95, 100)}, "descriptors"),
             ({"memory_mb": ResourceUsage(190, 192)}, "memory"),
             ({"discovery_age_s": 40.0}, "discovery silent"),
-            ({"classes": waits}, "7 status-read held"),
+            ({"classes": queued_classes}, "7 status-read held"),
             ({"zone": "b", "workers": (WorkerCounts("b", "big-box", 2, 0), *FLEET)}, "zone b"),
         ):
-            verdict = Run().go(3.0, CALM._replace(**changes))
-            self.assertEqual(verdict.state, "weighted", word)
-            self.assertIn(word, " ".join(verdict.reasons))
-            self.assertLess(verdict.weight, 95, word)
+            verdict = HealthRun().observe_for(3.0, CALM_SIGNALS._replace(**changes))
+            self.assertEqual(verdict.state, "weighted", expected)
+            self.assertIn(expected, " ".join(verdict.reasons))
+            self.assertLess(verdict.weight, 95, expected)
 
-    def test_refusals_weigh_while_they_last(self) -> None:
-        run, answered = Run(), 0
+    def test_rejections_reduce_the_weight_while_they_last(self) -> None:
+        run, answered = HealthRun(), 0
         for _ in range(60):
             answered += 2
-            run.go(STEP_S, CALM._replace(answered=answered, rejected=answered // 2))
-        self.assertIn("refusals", run.told[-1].reason)
+            run.observe_for(
+                SAMPLE_INTERVAL_S, CALM_SIGNALS._replace(answered=answered, rejected=answered // 2)
+            )
+        self.assertIn("refusals", run.verdicts[-1].reason)
         self.assertEqual(
-            run.go(10.0, CALM._replace(answered=answered, rejected=answered // 2)).state, "ready"
+            run.observe_for(10.0, CALM_SIGNALS._replace(answered=answered, rejected=answered // 2)).state,
+            "ready",
         )
 
-    def test_the_operators_weight_is_an_upper_bound(self) -> None:
-        run = Run()
+    def test_the_weight_set_by_the_operator_is_an_upper_bound(self) -> None:
+        run = HealthRun()
         run.health.set_weight(40, run.now)
-        self.assertEqual(run.go(3.0, CALM).weight, 40)
+        self.assertEqual(run.observe_for(3.0, CALM_SIGNALS).weight, 40)
         run.health.set_weight(0, run.now)
-        verdict = run.go(3.0, CALM)
+        verdict = run.observe_for(3.0, CALM_SIGNALS)
         self.assertEqual((verdict.weight, verdict.accepts_work), (0, False))
         with self.assertRaisesRegex(ValueError, "weight"):
             run.health.set_weight(101, run.now)
 
 
-class DrainOrders(unittest.TestCase):
-    def test_drain_is_told_at_once_and_ends_when_nothing_is_owed(self) -> None:
-        run = Run()
+class DrainTests(unittest.TestCase):
+    def test_a_drain_is_reported_at_once_and_ends_without_outstanding_requests(self) -> None:
+        run = HealthRun()
         verdict = run.health.drain("command", run.now)
         self.assertEqual((verdict.state, verdict.weight), ("draining", 0))
-        self.assertEqual(run.go(1.7, CALM).state, "draining")  # nothing is owed, but balancers still learn
-        self.assertEqual(run.go(1.0, CALM._replace(outstanding=1)).state, "draining")
-        self.assertEqual(run.go(STEP_S, CALM).state, "drained")
-
-    def test_undrain_goes_back_with_a_slow_start(self) -> None:
-        run = Run()
-        for waits in (0.5, 60.0):  # however long it was drained, or had no job worker at all
+        self.assertEqual(
+            run.observe_for(1.7, CALM_SIGNALS).state, "draining"
+        )  # the notice period is not over
+        self.assertEqual(run.observe_for(1.0, CALM_SIGNALS._replace(outstanding=1)).state, "draining")
+        self.assertEqual(run.observe_for(SAMPLE_INTERVAL_S, CALM_SIGNALS).state, "drained")
+
+    def test_undrain_begins_a_slow_start(self) -> None:
+        run = HealthRun()
+        # The length of the drain, or of the time without any worker, makes no difference.
+        for drained_s in (0.5, 60.0):
             run.health.drain("command", run.now)
-            run.go(waits, CALM)
+            run.observe_for(drained_s, CALM_SIGNALS)
             verdict = run.health.undrain("command", run.now)
             self.assertEqual((verdict.state, verdict.weight), ("weighted", 10))
-            self.assertLess(run.go(1.0, CALM).weight, 30)
-            self.assertEqual(run.go(12.0, CALM).state, "ready")
-            run.go(waits, CALM._replace(workers=()))
-            self.assertLess(run.go(1.0, CALM).weight, 30)
-            run.go(12.0, CALM)
-
-    def test_the_reasons_are_those_of_now_though_the_weight_stays(self) -> None:
-        run = Run()
-        full = run.go(5.0, CALM._replace(client_connections=ResourceUsage(100, 100)))
-        other = run.go(5.0, CALM._replace(memory_mb=ResourceUsage(192, 192)))
-        self.assertEqual((full.published_fields, "table" in full.reason), (other.published_fields, True))
-        self.assertIn("memory", other.reason)
-
-    def test_sigterm_is_never_withdrawn_and_two_sources_both_count(self) -> None:
-        run = Run()
+            self.assertLess(run.observe_for(1.0, CALM_SIGNALS).weight, 30)
+            self.assertEqual(run.observe_for(12.0, CALM_SIGNALS).state, "ready")
+            run.observe_for(drained_s, CALM_SIGNALS._replace(workers=()))
+            self.assertLess(run.observe_for(1.0, CALM_SIGNALS).weight, 30)
+            run.observe_for(12.0, CALM_SIGNALS)
+
+    def test_reasons_are_current_while_the_published_fields_stay_the_same(self) -> None:
+        run = HealthRun()
+        before = run.observe_for(5.0, CALM_SIGNALS._replace(client_connections=ResourceUsage(100, 100)))
+        after = run.observe_for(5.0, CALM_SIGNALS._replace(memory_mb=ResourceUsage(192, 192)))
+        self.assertEqual((before.published_fields, "table" in before.reason), (after.published_fields, True))
+        self.assertIn("memory", after.reason)
+
+    def test_a_drain_lasts_until_each_source_withdraws_and_sigterm_never_does(self) -> None:
+        run = HealthRun()
         run.health.drain("command", run.now)
         run.health.drain("store", run.now)
         self.assertEqual(run.health.undrain("command", run.now).state, "draining")
@@ -180,26 +200,26 @@
         run.health.drain("signal", run.now)
         self.assertEqual(run.health.undrain("signal", run.now).state, "draining")
 
-    def test_drain_undrain_drain_within_one_interval_counts_the_notice_anew(self) -> None:
-        run = Run()
+    def test_a_drain_after_an_undrain_restarts_the_notice_period(self) -> None:
+        run = HealthRun()
         run.health.drain("command", run.now)
-        run.go(0.3, CALM)
+        run.observe_for(0.3, CALM_SIGNALS)
         run.health.undrain("command", run.now)
-        run.go(0.3, CALM)
+        run.observe_for(0.3, CALM_SIGNALS)
         run.health.drain("command", run.now)
-        self.assertEqual(run.go(1.7, CALM).state, "draining")
-        self.assertEqual(run.go(0.2, CALM).state, "drained")
+        self.assertEqual(run.observe_for(1.7, CALM_SIGNALS).state, "draining")
+        self.assertEqual(run.observe_for(0.2, CALM_SIGNALS).state, "drained")
 
-    def test_another_source_does_not_prolong_the_notice(self) -> None:
-        run = Run()
+    def test_a_second_source_does_not_extend_the_notice_period(self) -> None:
+        run = HealthRun()
         run.health.drain("command", run.now)
-        run.go(1.5, CALM)
+        run.observe_for(1.5, CALM_SIGNALS)
         run.health.drain("store", run.now)
-        self.assertEqual(run.go(0.3, CALM).state, "drained")
+        self.assertEqual(run.observe_for(0.3, CALM_SIGNALS).state, "drained")
 
 
-class Meter(unittest.TestCase):
-    def test_own_use_and_stolen_time_are_told_apart(self) -> None:
+class CpuMeterTests(unittest.TestCase):
+    def test_own_use_and_stolen_time_are_distinguished(self) -> None:
         meter, cpu = CpuMeter(), CpuUsage()
         for step in range(20):
             cpu = meter.add_reading(CpuReading(step * 0.05, step * 0.0125, step * 0.05, 0.004))
@@ -208,47 +228,47 @@
         self.assertAlmostEqual(cpu.used, 0.25)
         self.assertAlmostEqual(cpu.lag_ms, 4.0)
 
-    def test_a_neighbour_that_takes_most_is_told_from_own_load_within_a_few_readings(self) -> None:
-        for part, robbed in ((0.25, True), (0.9, False)):
+    def test_contention_is_distinguished_from_own_load_within_a_few_readings(self) -> None:
+        for cpu_ratio, is_contended in ((0.25, True), (0.9, False)):
             meter, cpu = CpuMeter(), CpuUsage()
             for step in range(20):
                 cpu = meter.add_reading(CpuReading(step * 0.05, step * 0.02, step * 0.021, 0.0))
             for step in range(1, 5):
                 cpu = meter.add_reading(
-                    CpuReading(0.95 + step * 0.05, 0.38 + step * 0.05 * part, 0.399 + step * 0.05, 0.0)
+                    CpuReading(0.95 + step * 0.05, 0.38 + step * 0.05 * cpu_ratio, 0.399 + step * 0.05, 0.0)
                 )
-            self.assertEqual(cpu.is_contended, robbed)
+            self.assertEqual(cpu.is_contended, is_contended)
             self.assertLess(cpu.demand, 0.85)
 
-    def test_part_of_a_core_is_the_measure(self) -> None:
+    def test_use_is_relative_to_the_limit_of_cores(self) -> None:
         meter, cpu = CpuMeter(cores=0.5), CpuUsage()
         for step in range(20):
             cpu = meter.add_reading(CpuReading(step * 0.05, step * 0.0225, step * 0.0225, 0.0))
         self.assertAlmostEqual(cpu.demand, 0.9)
 
-    def test_without_the_loops_meter_late_timers_count(self) -> None:
+    def test_late_timers_count_if_busy_time_is_not_measured(self) -> None:
         meter, cpu = CpuMeter(), CpuUsage()
         for step in range(20):
             cpu = meter.add_reading(CpuReading(step * 0.1, step * 0.05, None, 0.05))
         self.assertGreater(cpu.demand, 0.9)
 
-    def test_a_clock_that_stands_still_is_no_division_by_zero(self) -> None:
+    def test_a_clock_that_stands_still_yields_zero_usage(self) -> None:
         meter = CpuMeter()
         self.assertEqual(
             [meter.add_reading(CpuReading(1.0, 1.0, 1.0, 0.0)) for _ in range(3)], [CpuUsage()] * 3
         )
 
 
-share = st.floats(0, 1)
-samples = st.builds(
+ratio = st.floats(0, 1)
+signal_samples = st.builds(
     HealthSignals,
-    cpu=st.builds(CpuUsage, share, share, share, st.floats(0, 5000)),
+    cpu=st.builds(CpuUsage, ratio, ratio, ratio, st.floats(0, 5000)),
     classes=st.just(CLASSES),
     zone=st.sampled_from(["a", "b", ""]),
     endpoints_known=st.booleans(),
     workers=st.lists(
         st.builds(
-            lambda z, k, n, t: WorkerCounts(z, k, n + t, t),
+            lambda zone, kind, rejecting, accepting: WorkerCounts(zone, kind, rejecting + accepting, accepting),
             st.sampled_from("ab"),
             st.sampled_from(["big-box", "old-box"]),
             st.integers(1, 9),
@@ -265,16 +285,16 @@
     discovery_age_s=st.none() | st.floats(0, 100),
     outstanding=st.integers(0, 3),
 )
-orders = st.sampled_from(["none", "drain", "undrain", "store", "unstore", "weight"])
+order_names = st.sampled_from(["none", "drain", "undrain", "store", "unstore", "weight"])
 
 
-class Always(unittest.TestCase):
+class InvariantTests(unittest.TestCase):
     @settings(max_examples=60, deadline=None)
-    @given(st.lists(st.tuples(samples, orders, st.floats(0.01, 3.0)), min_size=1, max_size=20))
-    def test_whatever_comes(self, steps) -> None:
+    @given(st.lists(st.tuples(signal_samples, order_names, st.floats(0.01, 3.0)), min_size=1, max_size=20))
+    def test_verdicts_are_consistent_for_any_samples_and_orders(self, samples) -> None:
         health, now = HealthStateMachine(HealthSettings(), 0.0), 0.0
-        for sample, order, passed in steps:
-            before, now = health.verdict, now + passed
+        for sample, order, elapsed_s in samples:
+            before, now = health.verdict, now + elapsed_s
             match order:
                 case "drain":
                     health.drain("command", now)
@@ -292,8 +312,8 @@
             if verdict.state in ACCEPTING_STATES:
                 self.assertGreaterEqual(verdict.weight, 10)
                 if before.state in ACCEPTING_STATES and order == "none":
-                    # Two steps of the clock may lie between what was told and what is.
-                    self.assertLessEqual(verdict.weight - before.weight, 10 * passed + 3 + 1)
+                    # 10 points a second, a change of less than `step` that was not announced, and rounding.
+                    self.assertLessEqual(verdict.weight - before.weight, 10 * elapsed_s + 3 + 1)
             else:
                 self.assertEqual(verdict.weight, 0)
 
