--- a/tests/test_grpc.py
+++ b/tests/test_grpc.py
@@ -1,4 +1,8 @@
-"""gRPC health: the pure session under floods, and the daemon asked by a published client library."""
+"""Tests of the gRPC health service: GrpcSession alone, and the daemon with the client of grpcio.
+
+They guard against a wrong or outdated status, against input that exhausts memory or raises an exception, and
+against a flood of control frames that does not end the connection.
+"""
 
 from __future__ import annotations
 
@@ -28,8 +32,8 @@
 )
 from spanwing.health.state_machine import HealthVerdict
 
-UP = HealthVerdict("ready", 100, (), (("status-read", ""), ("setpoint-push", "no big-box")))
-DRAINING = UP._replace(state="draining", weight=0, reasons=("draining",))
+READY = HealthVerdict("ready", 100, (), (("status-read", ""), ("setpoint-push", "no big-box")))
+DRAINING = READY._replace(state="draining", weight=0, reasons=("draining",))
 HEADERS = [
     (":method", "POST"),
     (":scheme", "http"),
@@ -39,84 +43,86 @@
 ]
 
 
-def request(service: str) -> bytes:
+def encode_request(service: str) -> bytes:
     body = health_pb2.HealthCheckRequest(service=service).SerializeToString()
     return struct.pack("!BI", 0, len(body)) + body
 
 
-class Pair:
-    """An h2 client and a session, joined by hand."""
+class SessionPair:
+    """An h2 client and a GrpcSession that exchange bytes without a network."""
 
     def __init__(self) -> None:
-        self.verdict, self.now = UP, 0.0
+        self.verdict, self.now = READY, 0.0
         self.session = GrpcSession(lambda: self.verdict)
         self.client = H2Connection(H2Configuration(client_side=True, header_encoding="utf-8"))
         self.client.initiate_connection()
-        self.seen: list = []
+        self.events: list = []
 
-    def pump(self) -> list:
-        """Both ways until nothing moves; the client's new events."""
-        fresh = []
+    def exchange(self) -> list:
+        """Passes bytes both ways until there are none left; returns the client's new events."""
+        new_events = []
         while True:
-            out = self.client.data_to_send()
-            if out and not self.session.is_closed:
-                self.session.receive(out, self.now)
-            back = self.session.pending_output()
-            if not out and not back:
+            output = self.client.data_to_send()
+            if output and not self.session.is_closed:
+                self.session.receive(output, self.now)
+            reply_bytes = self.session.pending_output()
+            if not output and not reply_bytes:
                 break
-            fresh += self.client.receive_data(back) if back else []
-        self.seen += fresh
-        return fresh
+            new_events += self.client.receive_data(reply_bytes) if reply_bytes else []
+        self.events += new_events
+        return new_events
 
-    def ask(self, path: str, service: str, headers=HEADERS) -> int:
+    def send_request(self, path: str, service: str, headers=HEADERS) -> int:
         stream = self.client.get_next_available_stream_id()
         self.client.send_headers(stream, [(":path", path), *headers])
-        self.client.send_data(stream, request(service), end_stream=True)
+        self.client.send_data(stream, encode_request(service), end_stream=True)
         return stream
 
-    def answer(self, path: str, service: str) -> tuple[list[int], str | None]:
-        """The statuses told and the gRPC status, if the call is over."""
-        self.ask(path, service)
-        events = self.pump()
-        told = [each.data[-1] for each in events if isinstance(each, DataReceived)]
-        heads = TrailersReceived | ResponseReceived
-        ends = [dict(each.headers) for each in events if isinstance(each, heads)]
-        return told, next((each["grpc-status"] for each in ends if "grpc-status" in each), None)
-
-
-class Sessions(unittest.TestCase):
-    def test_check_by_service(self) -> None:
-        pair = Pair()
-        self.assertEqual(pair.answer(CHECK_PATH, ""), ([1], "0"))
-        self.assertEqual(pair.answer(CHECK_PATH, "status-read"), ([1], "0"))
-        self.assertEqual(pair.answer(CHECK_PATH, "setpoint-push"), ([2], "0"))
-        self.assertEqual(pair.answer(CHECK_PATH, "nobody"), ([], "5"))
-        self.assertEqual(pair.answer("/grpc.health.v1.Health/List", ""), ([], "12"))
+    def call(self, path: str, service: str) -> tuple[list[int], str | None]:
+        """Returns the health statuses received, and the gRPC status or None if the call is still open."""
+        self.send_request(path, service)
+        events = self.exchange()
+        statuses = [each.data[-1] for each in events if isinstance(each, DataReceived)]
+        header_events = TrailersReceived | ResponseReceived
+        headers = [dict(each.headers) for each in events if isinstance(each, header_events)]
+        return statuses, next((each["grpc-status"] for each in headers if "grpc-status" in each), None)
+
+
+class GrpcSessionTests(unittest.TestCase):
+    def test_check_reports_the_status_of_each_service(self) -> None:
+        pair = SessionPair()
+        self.assertEqual(pair.call(CHECK_PATH, ""), ([1], "0"))
+        self.assertEqual(pair.call(CHECK_PATH, "status-read"), ([1], "0"))
+        self.assertEqual(pair.call(CHECK_PATH, "setpoint-push"), ([2], "0"))
+        self.assertEqual(pair.call(CHECK_PATH, "nobody"), ([], "5"))
+        self.assertEqual(pair.call("/grpc.health.v1.Health/List", ""), ([], "12"))
         pair.verdict = DRAINING
-        self.assertEqual(pair.answer(CHECK_PATH, "status-read"), ([2], "0"))
+        self.assertEqual(pair.call(CHECK_PATH, "status-read"), ([2], "0"))
 
-    def test_watch_hears_of_changes_alone(self) -> None:
-        pair = Pair()
-        self.assertEqual(pair.answer(WATCH_PATH, "status-read"), ([1], None))
-        self.assertEqual(pair.answer(WATCH_PATH, "nobody"), ([3], None))
-        for verdict, told in ((UP, []), (DRAINING, [2]), (DRAINING, []), (UP, [1])):
+    def test_watch_sends_only_changes(self) -> None:
+        pair = SessionPair()
+        self.assertEqual(pair.call(WATCH_PATH, "status-read"), ([1], None))
+        self.assertEqual(pair.call(WATCH_PATH, "nobody"), ([3], None))
+        for verdict, statuses in ((READY, []), (DRAINING, [2]), (DRAINING, []), (READY, [1])):
             pair.verdict = verdict
             pair.session.publish_verdict()
-            self.assertEqual([each.data[-1] for each in pair.pump() if isinstance(each, DataReceived)], told)
+            self.assertEqual(
+                [each.data[-1] for each in pair.exchange() if isinstance(each, DataReceived)], statuses
+            )
 
-    def test_a_watch_whose_window_is_shut_is_owed_the_newest_only(self) -> None:
-        pair = Pair()
+    def test_a_watch_without_window_gets_only_the_newest_status(self) -> None:
+        pair = SessionPair()
         pair.client.update_settings({SettingCodes.INITIAL_WINDOW_SIZE: 0})
-        stream = pair.ask(WATCH_PATH, "")
-        pair.pump()
-        for verdict in (DRAINING, UP, DRAINING):
+        stream = pair.send_request(WATCH_PATH, "")
+        pair.exchange()
+        for verdict in (DRAINING, READY, DRAINING):
             pair.verdict = verdict
             pair.session.publish_verdict()
-        self.assertEqual([each for each in pair.pump() if isinstance(each, DataReceived)], [])
+        self.assertEqual([each for each in pair.exchange() if isinstance(each, DataReceived)], [])
         pair.client.increment_flow_control_window(100, stream)
-        self.assertEqual([each.data[-1] for each in pair.pump() if isinstance(each, DataReceived)], [2])
+        self.assertEqual([each.data[-1] for each in pair.exchange() if isinstance(each, DataReceived)], [2])
 
-    def test_malformed_and_too_large(self) -> None:
+    def test_malformed_and_too_large_requests_get_an_error_status(self) -> None:
         for data, status in (
             (b"\x01" + bytes(4), "3"),
             (b"\x00\x00\x00\x00\x09ab", "3"),
@@ -124,94 +130,94 @@
             (struct.pack("!BI", 0, 3) + b"\x0a\x05a", "3"),
             (bytes(2000), "8"),
         ):
-            pair = Pair()
+            pair = SessionPair()
             stream = pair.client.get_next_available_stream_id()
             pair.client.send_headers(stream, [(":path", CHECK_PATH), *HEADERS])
             pair.client.send_data(stream, data, end_stream=True)
-            ends = [dict(each.headers) for each in pair.pump() if isinstance(each, ResponseReceived)]
-            self.assertEqual(ends[0]["grpc-status"], status, data)
-            self.assertEqual(pair.answer(CHECK_PATH, ""), ([1], "0"))  # the connection goes on
-        pair = Pair()
-        pair.ask(CHECK_PATH, "", [each for each in HEADERS if each[0] != "content-type"])
-        heads = [dict(each.headers) for each in pair.pump() if isinstance(each, ResponseReceived)]
-        self.assertEqual([each[":status"] for each in heads], ["415"])
-
-    def flooded(self, pair: Pair, code: ErrorCodes) -> None:
-        ended = [each for each in pair.seen if isinstance(each, ConnectionTerminated)]
+            headers = [dict(each.headers) for each in pair.exchange() if isinstance(each, ResponseReceived)]
+            self.assertEqual(headers[0]["grpc-status"], status, data)
+            self.assertEqual(pair.call(CHECK_PATH, ""), ([1], "0"))  # the connection still works
+        pair = SessionPair()
+        pair.send_request(CHECK_PATH, "", [each for each in HEADERS if each[0] != "content-type"])
+        headers = [dict(each.headers) for each in pair.exchange() if isinstance(each, ResponseReceived)]
+        self.assertEqual([each[":status"] for each in headers], ["415"])
+
+    def assert_closed_with(self, pair: SessionPair, error_code: ErrorCodes) -> None:
+        terminations = [each for each in pair.events if isinstance(each, ConnectionTerminated)]
         self.assertTrue(pair.session.is_closed)
-        self.assertEqual([each.error_code for each in ended], [code])
+        self.assertEqual([each.error_code for each in terminations], [error_code])
 
-    def test_floods_end_the_connection(self) -> None:
-        def reset(pair: Pair) -> None:
-            pair.client.reset_stream(pair.ask(CHECK_PATH, ""), ErrorCodes.CANCEL)
+    def test_a_flood_of_control_frames_ends_the_connection(self) -> None:
+        def reset(pair: SessionPair) -> None:
+            pair.client.reset_stream(pair.send_request(CHECK_PATH, ""), ErrorCodes.CANCEL)
 
-        for what in (
+        for send_frame in (
             lambda pair: pair.client.ping(bytes(8)),
             reset,
             lambda pair: pair.client.update_settings({SettingCodes.INITIAL_WINDOW_SIZE: 70000}),
         ):
-            pair = Pair()
-            pair.pump()
+            pair = SessionPair()
+            pair.exchange()
             for _ in range(MAX_CONTROL_FRAMES + 2):
                 if not pair.session.is_closed:
-                    what(pair)
-                    pair.pump()
-            self.flooded(pair, ErrorCodes.ENHANCE_YOUR_CALM)
+                    send_frame(pair)
+                    pair.exchange()
+            self.assert_closed_with(pair, ErrorCodes.ENHANCE_YOUR_CALM)
 
-    def test_control_frames_at_a_common_pace_are_no_flood(self) -> None:
-        pair = Pair()
+    def test_control_frames_at_a_normal_rate_are_accepted(self) -> None:
+        pair = SessionPair()
         for _ in range(MAX_CONTROL_FRAMES * 3):
             pair.now += 1.0
             pair.client.ping(bytes(8))
-            pair.pump()
-        self.assertEqual(pair.answer(CHECK_PATH, ""), ([1], "0"))
+            pair.exchange()
+        self.assertEqual(pair.call(CHECK_PATH, ""), ([1], "0"))
 
-    def test_a_peer_that_gives_no_sign_of_life_is_not_kept(self) -> None:
-        pair = Pair()
-        pair.answer(WATCH_PATH, "")
+    def test_a_peer_that_does_not_answer_a_ping_is_closed(self) -> None:
+        pair = SessionPair()
+        pair.call(WATCH_PATH, "")
         self.assertTrue(pair.session.keep_alive())
-        pair.pump()  # it answers
+        pair.exchange()  # the client answers the first PING
         self.assertTrue(pair.session.keep_alive())
-        self.assertFalse(pair.session.keep_alive())  # and now it did not
+        self.assertFalse(pair.session.keep_alive())  # it has not answered the second one
 
-    def test_streams_and_heads_are_bounded(self) -> None:
-        pair = Pair()
-        pair.pump()
-        pair.client.remote_settings.max_concurrent_streams = MAX_STREAMS + 10  # as one that heeds no limit
+    def test_streams_and_headers_are_bounded(self) -> None:
+        pair = SessionPair()
+        pair.exchange()
+        pair.client.remote_settings.max_concurrent_streams = MAX_STREAMS + 10  # it ignores the limit
         for _ in range(MAX_STREAMS + 1):
-            pair.ask(WATCH_PATH, "")
-        pair.pump()
+            pair.send_request(WATCH_PATH, "")
+        pair.exchange()
         self.assertTrue(pair.session.is_closed or len(pair.session.calls) <= MAX_STREAMS)
-        pair = Pair()
-        pair.ask(CHECK_PATH, "", [*HEADERS, ("x-long", "y" * (MAX_HEADER_BYTES + 1))])
-        pair.pump()
-        self.assertTrue(pair.session.is_closed or any(isinstance(each, StreamReset) for each in pair.seen))
+        pair = SessionPair()
+        pair.send_request(CHECK_PATH, "", [*HEADERS, ("x-long", "y" * (MAX_HEADER_BYTES + 1))])
+        pair.exchange()
+        self.assertTrue(pair.session.is_closed or any(isinstance(each, StreamReset) for each in pair.events))
 
     @given(st.lists(st.binary(max_size=40), max_size=8))
-    def test_any_bytes_never_raise(self, pieces) -> None:
-        session = GrpcSession(lambda: UP)
+    def test_no_input_raises(self, chunks) -> None:
+        session = GrpcSession(lambda: READY)
         session.receive(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", 0.0)
-        for piece in pieces:
+        for chunk in chunks:
             if not session.is_closed:
-                session.receive(piece, 0.0)
+                session.receive(chunk, 0.0)
         session.pending_output()
 
     @given(st.binary(max_size=40))
-    def test_any_message_is_a_name_or_an_error(self, data: bytes) -> None:
+    def test_parse_service_returns_a_name_or_raises_value_error(self, data: bytes) -> None:
         try:
             self.assertIsInstance(parse_service(data), str)
         except ValueError:
             pass
 
     @given(st.text(max_size=40))
-    def test_names_are_read_as_protobuf_writes_them(self, name: str) -> None:
+    def test_parse_service_reads_the_encoding_of_protobuf(self, name: str) -> None:
         self.assertEqual(parse_service(health_pb2.HealthCheckRequest(service=name).SerializeToString()), name)
 
 
-class Published(unittest.TestCase):
-    """grpcio's own client against the daemon."""
+class ClientLibraryTests(unittest.TestCase):
+    """Tests with the daemon and the client of grpcio."""
 
-    def test_check_and_watch_through_a_drain(self) -> None:
+    def test_check_and_watch_during_a_drain(self) -> None:
         worker = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(worker.close)
         daemon = Daemon(config([member("w1", worker.getsockname()[1])]), '[grpc]\nlisten = "127.0.0.1:0"\n')
@@ -222,14 +228,14 @@
             watch = stub.Watch(health_pb2.HealthCheckRequest(service="schedule-apply"), timeout=PATIENCE_S)
             while next(watch).status != health_pb2.HealthCheckResponse.SERVING:
                 pass
-            asked = health_pb2.HealthCheckRequest()
-            self.assertEqual(stub.Check(asked, timeout=PATIENCE_S).status, 1)
+            request_message = health_pb2.HealthCheckRequest()
+            self.assertEqual(stub.Check(request_message, timeout=PATIENCE_S).status, 1)
             with self.assertRaises(grpc.RpcError) as unknown:
                 stub.Check(health_pb2.HealthCheckRequest(service="nobody"), timeout=PATIENCE_S)
             self.assertEqual(unknown.exception.code(), grpc.StatusCode.NOT_FOUND)
             daemon.process.terminate()
             self.assertEqual(next(watch).status, health_pb2.HealthCheckResponse.NOT_SERVING)
-            self.assertEqual(stub.Check(asked, timeout=PATIENCE_S).status, 2)
+            self.assertEqual(stub.Check(request_message, timeout=PATIENCE_S).status, 2)
         self.assertEqual(daemon.wait()[0], 0)
         self.assertNotIn("Traceback", daemon.said())
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -268,7 +268,9 @@
     endpoints_known=st.booleans(),
     workers=st.lists(
         st.builds(
-            lambda zone, kind, rejecting, accepting: WorkerCounts(zone, kind, rejecting + accepting, accepting),
+            lambda zone, kind, rejecting, accepting: WorkerCounts(
+                zone, kind, rejecting + accepting, accepting
+            ),
             st.sampled_from("ab"),
             st.sampled_from(["big-box", "old-box"]),
             st.integers(1, 9),
