--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,8 @@
-"""One process takes the place of another, under load and when either of them fails at it."""
+"""Tests of the hot restart: one process replaces another under load, and when either of them fails.
+
+They guard against connections that are refused, reset or lost, requests that are answered twice or not at
+all, a start that hangs on the other process, and a predecessor that stops serving without a successor.
+"""
 
 from __future__ import annotations
 
@@ -18,73 +22,86 @@
 from measure.daemons import Program
 from measure.replacements import Lane
 
-PATIENCE_S = 20.0
-BUDGET_MS = 20000  # nothing is measured against it
-ANSWERS = 10  # and more: of each process between two replacements
-BROKEN = ("refused", "IncompleteReadError", "ConnectionResetError", "BrokenPipeError", "call-backs")
+TIMEOUT_S = 20.0  # a test fails if an expected event does not occur in this time
+BUDGET_MS = 20000  # long enough that no request exceeds it
+MIN_ANSWERS = 10  # answers that clients get from each process before it is replaced
+CONNECTION_ERRORS = (
+    "refused",
+    "IncompleteReadError",
+    "ConnectionResetError",
+    "BrokenPipeError",
+    "call-backs",
+)
 
 
-class Replacement(unittest.IsolatedAsyncioTestCase):
-    async def opened(self, clients: int = 24, running_s: tuple[float, float] = (0.05, 0.6), **limits: float):
+class HotRestartTests(unittest.IsolatedAsyncioTestCase):
+    async def open_lane(
+        self, clients: int = 24, running_s: tuple[float, float] = (0.05, 0.6), **limits: float
+    ):
         lane = Lane(1, clients, running_s, **limits)
         return lane, await lane.open()
 
-    async def closed(self, lane: Lane, broken: tuple[str, ...] = BROKEN) -> None:
+    async def assert_closed_without_faults(
+        self, lane: Lane, expected_absent: tuple[str, ...] = CONNECTION_ERRORS
+    ) -> None:
+        """Closes the lane, and checks its connection errors, its answers and the output of its processes."""
         result = await lane.close()
-        self.assertEqual({name: result.met[name] for name in broken if result.met[name]}, {})
+        self.assertEqual({name: result.met[name] for name in expected_absent if result.met[name]}, {})
         self.assertEqual(result.twice, 0)
         self.assertEqual(result.answers["another's"], 0)
         self.assertNotIn("Traceback", result.said)
         self.assertNotIn("fault", result.said)
 
-    async def until(self, holds, what: str) -> None:
-        end = time.monotonic() + PATIENCE_S
-        while not holds():
-            self.assertLess(time.monotonic(), end, what)
+    async def wait_until(self, condition, description: str) -> None:
+        deadline_s = time.monotonic() + TIMEOUT_S
+        while not condition():
+            self.assertLess(time.monotonic(), deadline_s, description)
             await asyncio.sleep(0.01)
 
-    async def more_answers(self, lane: Lane) -> None:
-        """Until clients have had some more answers: the process at work serves under load."""
-        so_far = lane.result.answers["200"]
-        await self.until(lambda: lane.result.answers["200"] > so_far + ANSWERS, "clients have answers")
+    async def wait_for_answers(self, lane: Lane) -> None:
+        """Waits until clients have got more than MIN_ANSWERS further answers from the current process."""
+        answers_before = lane.result.answers["200"]
+        await self.wait_until(
+            lambda: lane.result.answers["200"] > answers_before + MIN_ANSWERS, "clients have answers"
+        )
 
-    async def figures(self, lane: Lane, process) -> dict[str, int]:
+    async def read_statistics(self, lane: Lane, process) -> dict[str, int]:
         body = (await lane.call(process, "stats")).partition(b"\r\n\r\n")[2].decode()
         return {
             name.removeprefix("app."): int(value)
             for name, value in (line.split("=") for line in body.split())
         }
 
-    async def test_three_in_a_row_under_load_with_halved_limits(self) -> None:
-        lane, current = await self.opened(sockets=192, memory_mb=48)
+    async def test_three_hot_restarts_in_a_row_under_load_with_halved_limits(self) -> None:
+        lane, process = await self.open_lane(sockets=192, memory_mb=48)
         for _ in range(3):
-            await self.more_answers(lane)
-            current = await lane.replace(current)
-        await self.more_answers(lane)
+            await self.wait_for_answers(lane)
+            process = await lane.replace(process)
+        await self.wait_for_answers(lane)
         self.assertLessEqual(lane.result.descriptors, 192)
-        await self.closed(lane)
+        await self.assert_closed_without_faults(lane)
 
-    async def test_open_requests_of_each_class_end_at_the_successor(self) -> None:
-        """Nothing new comes: what the successor answers was all taken by the one before it."""
-        lane, old = await self.opened(clients=0, running_s=(0.0, 0.1))
+    async def test_open_requests_of_each_class_are_answered_by_the_successor(self) -> None:
+        """No request is sent after the restart, so all that the successor answers were transferred to it."""
+        lane, predecessor = await self.open_lane(clients=0, running_s=(0.0, 0.1))
         lane.workers.may_end.clear()
         answers = [
-            asyncio.ensure_future(self.ask(lane, cls, number))
+            asyncio.ensure_future(self.send_request(lane, cls, number))
             for number in range(4)
             for cls in ("status-read", "schedule-apply", "setpoint-push")
         ]
-        await self.until(lambda: len(lane.workers.ran) == 12, "all have been sent")
-        new = await lane.replace(old)
+        await self.wait_until(lambda: len(lane.workers.ran) == 12, "all have been sent")
+        successor = await lane.replace(predecessor)
         lane.workers.may_end.set()
         self.assertEqual([await each for each in answers], [b"200"] * 12)
-        told = await self.figures(lane, new)
+        statistics = await self.read_statistics(lane, successor)
         self.assertEqual(
-            [told[f"ok.{cls}"] for cls in ("status-read", "schedule-apply", "setpoint-push")], [4, 4, 4]
+            [statistics[f"ok.{cls}"] for cls in ("status-read", "schedule-apply", "setpoint-push")], [4, 4, 4]
         )
-        self.assertEqual((told["active"], told["pool_ejected"]), (0, 0))
-        await self.closed(lane)
+        self.assertEqual((statistics["active"], statistics["pool_ejected"]), (0, 0))
+        await self.assert_closed_without_faults(lane)
 
-    async def ask(self, lane: Lane, cls: str, number: int) -> bytes:
+    async def send_request(self, lane: Lane, cls: str, number: int) -> bytes:
         reader, writer = await asyncio.open_connection(*lane.place)
         job = f"{cls}-x-{number}"
         writer.write(
@@ -96,151 +113,159 @@
         finally:
             writer.close()
 
-    async def test_an_id_that_is_open_at_the_one_before_is_repeated_at_the_successor(self) -> None:
-        lane, old = await self.opened(clients=0, running_s=(0.0, 0.1))
+    async def test_an_id_that_is_open_at_the_predecessor_is_repeated_at_the_successor(self) -> None:
+        lane, predecessor = await self.open_lane(clients=0, running_s=(0.0, 0.1))
         lane.workers.may_end.clear()
-        first = asyncio.ensure_future(self.ask(lane, "schedule-apply", 1))
-        await self.until(lambda: len(lane.workers.ran) == 1, "it has been sent")
-        new = await asyncio.to_thread(lane.start)
-        await asyncio.to_thread(new.serving)
-        await lane.until_yes(new, time.monotonic() + PATIENCE_S)
-        # The old one has heard no SIGTERM, and still has the request; the new one alone accepts.
-        self.assertEqual(await self.ask(lane, "schedule-apply", 1), b"409")
-        self.assertEqual((await self.figures(lane, new))["errors.schedule-apply"], 1)
-        self.assertFalse(first.done())
+        first_response = asyncio.ensure_future(self.send_request(lane, "schedule-apply", 1))
+        await self.wait_until(lambda: len(lane.workers.ran) == 1, "it has been sent")
+        successor = await asyncio.to_thread(lane.start)
+        await asyncio.to_thread(successor.serving)
+        await lane.until_yes(successor, time.monotonic() + TIMEOUT_S)
+        # The predecessor has not received SIGTERM and still has the request; only the successor accepts.
+        self.assertEqual(await self.send_request(lane, "schedule-apply", 1), b"409")
+        self.assertEqual((await self.read_statistics(lane, successor))["errors.schedule-apply"], 1)
+        self.assertFalse(first_response.done())
         lane.workers.may_end.set()
-        self.assertEqual(await first, b"200")
-        await lane.end(old)
+        self.assertEqual(await first_response, b"200")
+        await lane.end(predecessor)
         self.assertEqual(lane.workers.ran["schedule-apply-x-1"], 1)
-        await self.closed(lane)
+        await self.assert_closed_without_faults(lane)
 
-    async def test_a_half_read_request_goes_over(self) -> None:
-        lane, old = await self.opened(clients=0)
+    async def test_a_partly_read_request_is_transferred(self) -> None:
+        lane, predecessor = await self.open_lane(clients=0)
         reader, writer = await asyncio.open_connection(*lane.place)
         writer.write(b"POST /status-read HTTP/1.1\r\nX-Call-Id: half-1\r\nX-Bud")
         await asyncio.sleep(0.1)
-        await lane.replace(old)
+        await lane.replace(predecessor)
         writer.write(b"get-Ms: 5000\r\nContent-Length: 0\r\n\r\n")
         self.assertEqual((await reader.readuntil(b"\r\n\r\n")).split(b" ")[1], b"200")
         writer.close()
-        await self.closed(lane)
+        await self.assert_closed_without_faults(lane)
 
-    async def test_the_successor_dies_before_its_yes(self) -> None:
-        lane, old = await self.opened()
+    async def test_a_successor_that_is_killed_before_it_is_ready(self) -> None:
+        lane, predecessor = await self.open_lane()
         for _ in range(3):
-            new = await asyncio.to_thread(lane.start)
-            new.process.kill()
-            await asyncio.to_thread(new.process.wait)
-            lane.drop(new)
+            successor = await asyncio.to_thread(lane.start)
+            successor.process.kill()
+            await asyncio.to_thread(successor.process.wait)
+            lane.drop(successor)
         await asyncio.sleep(0.2)
-        await lane.replace(old)
-        await self.closed(lane)
+        await lane.replace(predecessor)
+        await self.assert_closed_without_faults(lane)
 
-    async def test_the_successor_dies_after_its_yes_and_the_old_one_accepts_again(self) -> None:
-        lane, old = await self.opened(clients=0)
-        new = await asyncio.to_thread(lane.start)
-        await asyncio.to_thread(new.serving)
-        await lane.until_yes(new, time.monotonic() + PATIENCE_S)
-        new.process.kill()
-        new.process.wait()
-        lane.drop(new)
-        self.assertEqual(await self.ask(lane, "status-read", 1), b"200")
-        await lane.replace(old)
-        self.assertEqual(await self.ask(lane, "status-read", 2), b"200")
-        await self.closed(lane)
+    async def test_the_predecessor_accepts_again_if_a_ready_successor_is_killed(self) -> None:
+        lane, predecessor = await self.open_lane(clients=0)
+        successor = await asyncio.to_thread(lane.start)
+        await asyncio.to_thread(successor.serving)
+        await lane.until_yes(successor, time.monotonic() + TIMEOUT_S)
+        successor.process.kill()
+        successor.process.wait()
+        lane.drop(successor)
+        self.assertEqual(await self.send_request(lane, "status-read", 1), b"200")
+        await lane.replace(predecessor)
+        self.assertEqual(await self.send_request(lane, "status-read", 2), b"200")
+        await self.assert_closed_without_faults(lane)
 
-    async def test_the_old_one_dies_first(self) -> None:
-        lane, old = await self.opened(clients=0)
-        old.process.kill()
-        old.process.wait()
-        lane.drop(old)  # its socket's name is left in the folder
-        new = await asyncio.to_thread(lane.start)
-        self.assertTrue(await asyncio.to_thread(new.serving), new.said())
-        self.assertEqual(await self.ask(lane, "status-read", 1), b"200")
-        await self.closed(lane)
+    async def test_a_start_after_the_predecessor_was_killed(self) -> None:
+        lane, predecessor = await self.open_lane(clients=0)
+        predecessor.process.kill()
+        predecessor.process.wait()
+        lane.drop(predecessor)  # its rendezvous socket stays in the folder
+        successor = await asyncio.to_thread(lane.start)
+        self.assertTrue(await asyncio.to_thread(successor.serving), successor.said())
+        self.assertEqual(await self.send_request(lane, "status-read", 1), b"200")
+        await self.assert_closed_without_faults(lane)
 
-    async def test_an_old_one_that_never_answers_holds_nothing_up(self) -> None:
-        lane, old = await self.opened(clients=0)
-        old.process.send_signal(signal.SIGSTOP)
-        at = time.monotonic()
-        new = await asyncio.to_thread(lane.start)
-        self.assertTrue(await asyncio.to_thread(new.serving), new.said())
-        await lane.until_yes(new, at + 6.0)
-        self.assertEqual(await self.ask(lane, "status-read", 1), b"200")
-        old.process.kill()
-        old.process.wait()
-        lane.drop(old)
-        await self.closed(lane)
+    async def test_a_predecessor_that_does_not_answer_does_not_block_the_start(self) -> None:
+        lane, predecessor = await self.open_lane(clients=0)
+        predecessor.process.send_signal(signal.SIGSTOP)
+        started_s = time.monotonic()
+        successor = await asyncio.to_thread(lane.start)
+        self.assertTrue(await asyncio.to_thread(successor.serving), successor.said())
+        await lane.until_yes(successor, started_s + 6.0)
+        self.assertEqual(await self.send_request(lane, "status-read", 1), b"200")
+        predecessor.process.kill()
+        predecessor.process.wait()
+        lane.drop(predecessor)
+        await self.assert_closed_without_faults(lane)
 
-    async def test_sighup_and_another_discovery_in_the_middle(self) -> None:
-        """Both processes follow the new file, and the replacement goes on."""
-        lane, old = await self.opened()
-        new = await asyncio.to_thread(lane.start)
-        self.assertTrue(await asyncio.to_thread(new.serving), new.said())
-        for each in (old, new):
+    async def test_a_reload_with_another_discovery_address_during_a_hot_restart(self) -> None:
+        """Both processes apply the new file, and the hot restart continues."""
+        lane, predecessor = await self.open_lane()
+        successor = await asyncio.to_thread(lane.start)
+        self.assertTrue(await asyncio.to_thread(successor.serving), successor.said())
+        for each in (predecessor, successor):
             file = Path(each.folder.name) / "config.json"
             each.write({**json.loads(file.read_text()), "discovery": "127.0.0.1:10"})
             each.process.send_signal(signal.SIGHUP)
-        await lane.until_yes(new, time.monotonic() + PATIENCE_S)
-        await lane.end(old)
-        await lane.replace(new)
-        await self.closed(lane)
+        await lane.until_yes(successor, time.monotonic() + TIMEOUT_S)
+        await lane.end(predecessor)
+        await lane.replace(successor)
+        await self.assert_closed_without_faults(lane)
 
-    async def test_the_successor_dies_while_everything_goes_over(self) -> None:
-        """What it had is lost with it; the old one answers what it still has, and ends by itself."""
-        lane, old = await self.opened(clients=0, running_s=(0.0, 0.1))
+    async def test_a_successor_that_is_killed_during_the_transfer(self) -> None:
+        """Transferred requests are lost; the predecessor answers those that it still has, and then exits."""
+        lane, predecessor = await self.open_lane(clients=0, running_s=(0.0, 0.1))
         lane.workers.may_end.clear()
-        asked = [asyncio.ensure_future(self.ask(lane, "status-read", number)) for number in range(8)]
-        await self.until(lambda: len(lane.workers.ran) == 8, "all have been sent")
-        new = await asyncio.to_thread(lane.start)
-        self.assertTrue(await asyncio.to_thread(new.serving), new.said())
-        await lane.until_yes(new, time.monotonic() + PATIENCE_S)
-        old.process.terminate()
-        new.process.kill()
+        responses = [
+            asyncio.ensure_future(self.send_request(lane, "status-read", number)) for number in range(8)
+        ]
+        await self.wait_until(lambda: len(lane.workers.ran) == 8, "all have been sent")
+        successor = await asyncio.to_thread(lane.start)
+        self.assertTrue(await asyncio.to_thread(successor.serving), successor.said())
+        await lane.until_yes(successor, time.monotonic() + TIMEOUT_S)
+        predecessor.process.terminate()
+        successor.process.kill()
         lane.workers.may_end.set()
-        await asyncio.to_thread(old.process.wait, PATIENCE_S)
-        self.assertEqual(old.process.returncode, 0)
-        lane.drop(old)
-        lane.drop(new)
-        await asyncio.gather(*asked, return_exceptions=True)
-        await self.closed(lane, ())
+        await asyncio.to_thread(predecessor.process.wait, TIMEOUT_S)
+        self.assertEqual(predecessor.process.returncode, 0)
+        lane.drop(predecessor)
+        lane.drop(successor)
+        await asyncio.gather(*responses, return_exceptions=True)
+        await self.assert_closed_without_faults(lane, ())
+
+    async def test_invalid_messages_and_a_stale_file_at_the_rendezvous_socket(self) -> None:
+        """Incomplete or oversized messages, another version, a plain file instead of the socket.
 
-    async def test_strangers_at_the_socket_and_a_stale_file(self) -> None:
-        """Another version, cut-off bytes, a plain file in its place: the processes go on as strangers."""
-        lane, old = await self.opened(clients=0)
-        place = next(Path(lane.folder.name).glob("spanwing-*"))
-        for said in (b"", b"\x00", b"\x82\xa4type", b"\x82\xa4type\xa5hello\xa7version\x63", b"x" * 70000):
-            stranger = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-            stranger.connect(str(place))
-            with suppress(BrokenPipeError):  # one at a time is heard
-                stranger.send(said)
-            stranger.close()
-        self.assertEqual(await self.ask(lane, "status-read", 1), b"200")
-        current = await lane.replace(old)
-        place = next(Path(lane.folder.name).glob("spanwing-*"))
-        place.unlink()
-        place.write_bytes(b"left by another version")
-        at = time.monotonic()
-        new = await asyncio.to_thread(lane.start)
-        self.assertTrue(await asyncio.to_thread(new.serving), new.said())
-        await lane.until_yes(new, at + 6.0)
-        await lane.end(current)
-        self.assertEqual(await self.ask(lane, "status-read", 2), b"200")
-        await self.closed(lane, BROKEN[:-1])  # strangers' connections end with their process
+        The predecessor goes on serving, and a successor that cannot connect starts on its own.
+        """
+        lane, predecessor = await self.open_lane(clients=0)
+        socket_path = next(Path(lane.folder.name).glob("spanwing-*"))
+        for message in (b"", b"\x00", b"\x82\xa4type", b"\x82\xa4type\xa5hello\xa7version\x63", b"x" * 70000):
+            sender = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+            sender.connect(str(socket_path))
+            with suppress(BrokenPipeError):  # only one connection at a time is accepted
+                sender.send(message)
+            sender.close()
+        self.assertEqual(await self.send_request(lane, "status-read", 1), b"200")
+        process = await lane.replace(predecessor)
+        socket_path = next(Path(lane.folder.name).glob("spanwing-*"))
+        socket_path.unlink()
+        socket_path.write_bytes(b"left by another version")
+        started_s = time.monotonic()
+        successor = await asyncio.to_thread(lane.start)
+        self.assertTrue(await asyncio.to_thread(successor.serving), successor.said())
+        await lane.until_yes(successor, started_s + 6.0)
+        await lane.end(process)
+        self.assertEqual(await self.send_request(lane, "status-read", 2), b"200")
+        # Without a link, call-back connections are not transferred: they end with their process.
+        await self.assert_closed_without_faults(lane, CONNECTION_ERRORS[:-1])
 
-    async def test_no_listening_socket_is_one_plain_line(self) -> None:
-        lane, old = await self.opened(clients=0)
+    async def test_an_invalid_listening_descriptor_is_a_one_line_error(self) -> None:
+        lane, process = await self.open_lane(clients=0)
         with open(os.devnull) as file:
-            for fd, why in ((file.fileno(), "Bad file descriptor"), (0, "Socket operation on non-socket")):
-                wrong = await asyncio.to_thread(lane.start, fd)
-                self.assertEqual(await asyncio.to_thread(wrong.process.wait, PATIENCE_S), 2)
-                self.assertRegex(wrong.said(), rf"^spanwing: ROUTER_FD: cannot listen on {fd}: {why}\n$")
-                lane.drop(wrong)
+            for fd, reason in ((file.fileno(), "Bad file descriptor"), (0, "Socket operation on non-socket")):
+                failed_process = await asyncio.to_thread(lane.start, fd)
+                self.assertEqual(await asyncio.to_thread(failed_process.process.wait, TIMEOUT_S), 2)
+                self.assertRegex(
+                    failed_process.said(), rf"^spanwing: ROUTER_FD: cannot listen on {fd}: {reason}\n$"
+                )
+                lane.drop(failed_process)
         lane.result.said = ""
-        self.assertEqual(await self.ask(lane, "status-read", 1), b"200")
-        await self.closed(lane)
+        self.assertEqual(await self.send_request(lane, "status-read", 1), b"200")
+        await self.assert_closed_without_faults(lane)
 
-    async def test_nothing_of_it_exists_without_the_descriptor_and_the_address(self) -> None:
+    async def test_nothing_is_loaded_without_a_descriptor_and_a_management_address(self) -> None:
         code = (
             "import os, sys, threading\n"
             "from tornado.ioloop import IOLoop\n"
@@ -253,10 +278,10 @@
             "serve()\n"
         )
         with tempfile.TemporaryDirectory() as folder:
-            plain = Program(config(), "", command=("-c", code), environment={"TMPDIR": folder})
-            self.addCleanup(plain.close)
-            said = await asyncio.to_thread(plain.process.stdout.read)
-        self.assertEqual(said.splitlines()[-1], "[] 1 []", plain.said())
+            program = Program(config(), "", command=("-c", code), environment={"TMPDIR": folder})
+            self.addCleanup(program.close)
+            output = await asyncio.to_thread(program.process.stdout.read)
+        self.assertEqual(output.splitlines()[-1], "[] 1 []", program.said())
 
 
 if __name__ == "__main__":
