--- a/spanwing/health/cpu_meter.py
+++ b/spanwing/health/cpu_meter.py
@@ -16,8 +16,8 @@
 from spanwing.health.signals import CpuUsage
 
 MAX_READINGS = 64
-# The CPU is contended if over this window the loop is busy for at least the first part of the time, and gets
-# no CPU for at least the second part.
+# The CPU is contended if, within this window, the loop is busy for at least the first ratio of the time, and
+# is busy without getting CPU for at least the second.
 CONTENTION_WINDOW_S, CONTENTION_BUSY_RATIO, CONTENTION_STOLEN_RATIO = 0.15, 0.97, 0.5
 
 
--- a/spanwing/health/settings.py
+++ b/spanwing/health/settings.py
@@ -21,14 +21,13 @@
     fall_per_s: float = 60.0  # percentage points; the weight falls by at most this in a second
     step: float = 3.0  # percentage points; smaller changes of the weight are not reported
     short_at: float = 0.85  # CPU demand from which on the daemon is overloaded
-    # How long the overload lasts before it counts as a shortage; one burst, or one pause of the machine, does
-    # not.
+    # An overload must last this long to count as a shortage, so that one burst or one pause does not count.
     short_ms: float = 150.0
     ease_at: float = 0.6  # CPU demand below which the daemon recovers
     ease_ms: float = 2000.0  # how long it stays below ease_at before the shortage ends
     # Least time between two cuts of the weight for CPU, so that balancers see one cut before the next.
     settle_ms: float = 1500.0
-    # How long the state after the start is "starting" without an endpoint list; then it is "absent".
+    # After a start without an endpoint list, the state is "starting" for this long, then "absent".
     starting_ms: float = 5000.0
     discovery_ms: float = 30_000.0  # the endpoint list is stale if discovery is silent for longer
 
--- a/spanwing/health/weight.py
+++ b/spanwing/health/weight.py
@@ -21,9 +21,9 @@
 REJECTION_WINDOW_S, REJECTION_MIN_ANSWERS, REJECTION_MIN_FACTOR = 5.0, 10, 0.5
 OWN_ZONE_LOST_FACTOR = 0.5  # only workers of other zones accept work
 STALE_ENDPOINTS_FACTOR = 0.5  # discovery has been silent for discovery_ms
-MIN_CUT_FACTOR = 0.25  # a single cut for CPU reduces the weight at most to this part of it
+MIN_CUT_FACTOR = 0.25  # a single cut for CPU leaves at least this part of the weight
 MAX_SAMPLES = 256  # samples kept by RejectionRate
-SATURATED_RATIO = 0.97  # part of the time in which the loop is busy, from which on it counts as never idle
+SATURATED_RATIO = 0.97  # a loop that is busy for this part of the time counts as never idle
 
 
 class WeightFactor(NamedTuple):
@@ -237,7 +237,7 @@
 def find_shortages(
     signals: HealthSignals, rejection: WeightFactor, cpu: WeightFactor, settings: HealthSettings
 ) -> list[WeightFactor]:
-    """Returns the factors that reduce the weight, the least one first; 0.995 or more rounds to 100%."""
+    """Returns the factors below 0.995, the least one first; higher ones round to 100% and do not count."""
     factors = [
         cpu,
         rejection,
--- a/spanwing/hot_restart/hot_restart.py
+++ b/spanwing/hot_restart/hot_restart.py
@@ -182,7 +182,7 @@
         self.divide_connections()
 
     def _handle_predecessor_message(self, message: HotRestartMessage, fd: int | None) -> None:
-        if fd is not None and self.server is None:  # a valid predecessor sends no connection before that
+        if fd is not None and self.server is None:  # no connection may be transferred yet
             os.close(fd)
             return
         if isinstance(message, TransferredConnection):
--- a/spanwing/hot_restart/messages.py
+++ b/spanwing/hot_restart/messages.py
@@ -1,8 +1,8 @@
 """The messages between the two processes of a hot restart.
 
 The first message carries the protocol version. A different version, or a message that cannot be decoded, ends
-the link, and both processes continue independently. The tags of the messages and the names of their fields on
-the wire differ from the names here where a `name=` or `tag=` says so; they are fixed by the protocol version.
+the link, and both processes continue independently. `tag=` and `name=` give the names on the wire, which stay
+the same as long as the version does.
 """
 
 from __future__ import annotations
