--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -459,7 +459,7 @@
             code, output = self.run_command(fleet, *words)
             if code == 0 or holds():
                 return
-            self.assertRegex(output, "look before|is reached")
+            self.assertRegex(output, "check the state before|cannot be sent to a member of the store")
             fleet.until(fleet.contact)
         self.fail(output)
 
