--- a/measure/fleet/drawn.py
+++ b/measure/fleet/drawn.py
@@ -24,7 +24,7 @@
 
 import click
 
-from measure.fleet.ground import Ground
+from measure.fleet.ground import ProcessFleet
 
 ZONES, MEMBERS = ("a", "b", "c"), 3
 SCHEDULERS = tuple(f"s{number}" for number in range(5))
@@ -130,7 +130,7 @@
         self.kept_stopped = ""
         # A return has its workers cold for long, and more work than the others can do meanwhile.
         rate, more = (20.0, {"slots": 2, "cold_ms": 9000.0}) if form == "return" else (12.0, {})
-        self.ground = Ground(len(SCHEDULERS), ZONES, 3, MEMBERS, seed, rate, command=command, **more)
+        self.ground = ProcessFleet(len(SCHEDULERS), ZONES, 3, MEMBERS, seed, rate, command=command, **more)
 
     def play(self, steps: list[Step]) -> None:
         begun = time.monotonic()
--- a/measure/fleet/followers.py
+++ b/measure/fleet/followers.py
@@ -18,7 +18,7 @@
 from tornado.ioloop import IOLoop
 
 from measure.daemons import ROOT, TICKS
-from measure.fleet.ground import HOST, Ground
+from measure.fleet.ground import HOST, ProcessFleet
 from spanwing.actor import spawn_task
 from spanwing.net.address import Address
 from spanwing.net.buffers import BufferPool
@@ -79,7 +79,7 @@
 class Many:
     """All of them."""
 
-    def __init__(self, ground: Ground, count: int) -> None:
+    def __init__(self, ground: ProcessFleet, count: int) -> None:
         # Not by the relays, whose own work would be measured too.
         members = {name: ground.programs[name].addresses["store"][1] for name in ground.members}
         self.parts = []
@@ -110,14 +110,14 @@
             part.stdout.close()
 
 
-def cpu_s(ground: Ground, name: str) -> float:
+def cpu_s(ground: ProcessFleet, name: str) -> float:
     with open(f"/proc/{ground.process(name).pid}/stat") as file:
         fields = file.read().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS
 
 
 def measure(count: int) -> str:
-    with Ground(3, members=3, balancers=count + 3) as ground:
+    with ProcessFleet(3, members=3, balancers=count + 3) as ground:
         ground.until(ground.contact)
         time.sleep(SETTLE_S)
         idle = {name: cpu_s(ground, name) for name in ground.members}
--- a/measure/fleet/ground.py
+++ b/measure/fleet/ground.py
@@ -66,7 +66,7 @@
         self.process.stdout.close()
 
 
-class Ground:
+class ProcessFleet:
     """A fleet, from its start to close()."""
 
     def __init__(
@@ -324,7 +324,7 @@
             part.close()
         self.folder.cleanup()
 
-    def __enter__(self) -> Ground:
+    def __enter__(self) -> ProcessFleet:
         return self
 
     def __exit__(self, *_: object) -> None:
--- a/measure/fleet/long.py
+++ b/measure/fleet/long.py
@@ -21,13 +21,13 @@
 import click
 
 from measure.fleet import check
-from measure.fleet.ground import COLD_MS, Ground
+from measure.fleet.ground import COLD_MS, ProcessFleet
 
 WINDOW_S = 6.0
 KINDS = ("killed", "silent", "failing", "cut")
 
 
-def events(ground: Ground, zone: str) -> dict[str, list[tuple[float, str]]]:
+def events(ground: ProcessFleet, zone: str) -> dict[str, list[tuple[float, str]]]:
     """By scheduler, when it heard of each state of the zone."""
     found: dict[str, list[tuple[float, str]]] = {}
     for name in ground.reached():
@@ -46,7 +46,7 @@
     way: str, kind: str, seed: int, schedulers: int, zones: int, per_zone: int, rate: float
 ) -> dict[str, Any]:
     names = [chr(ord("a") + number) for number in range(zones)]
-    with Ground(schedulers, names, per_zone, 3, seed, rate, fleet_zones=way != "alone") as ground:
+    with ProcessFleet(schedulers, names, per_zone, 3, seed, rate, fleet_zones=way != "alone") as ground:
         if way != "alone":
             ground.until(ground.contact, 60.0)
         ground.load(True)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,7 +13,7 @@
 
 from measure.daemons import ROOT
 from measure.fleet import check
-from measure.fleet.ground import Ground
+from measure.fleet.ground import ProcessFleet
 from spanwing.cli.main import main as command
 from spanwing.workers.worker_id import worker_id_of
 from spanwing.zones.evidence import short_worker_id
@@ -25,8 +25,8 @@
 class FleetTestCase(unittest.TestCase):
     """Starts a fleet under load, and checks at the end that no rule of the fleet was broken."""
 
-    def start_fleet(self, **how) -> Ground:
-        fleet = Ground(**how)
+    def start_fleet(self, **how) -> ProcessFleet:
+        fleet = ProcessFleet(**how)
         self.addCleanup(fleet.close)
         fleet.until(fleet.contact)
         fleet.load(True)
@@ -34,24 +34,24 @@
         fleet.until(lambda: all(self.good_workers_seen(fleet, zone) for zone in fleet.zones))
         return fleet
 
-    def good_workers_seen(self, fleet: Ground, zone: str) -> int:
+    def good_workers_seen(self, fleet: ProcessFleet, zone: str) -> int:
         return sum(
             fleet.zones_of(name)["zones"].get(zone, {}).get("seen_good", 0) for name in fleet.reached()
         )
 
-    def wait_until_left(self, fleet: Ground, *zones: str) -> None:
+    def wait_until_left(self, fleet: ProcessFleet, *zones: str) -> None:
         for zone in zones:
             fleet.until(lambda zone=zone: fleet.states(zone) == {"left"})
 
-    def wait_until_open(self, fleet: Ground, *zones: str) -> None:
+    def wait_until_open(self, fleet: ProcessFleet, *zones: str) -> None:
         for zone in zones:
             fleet.until(lambda zone=zone: fleet.contact() and fleet.states(zone) == {"open"})
 
-    def last_author(self, fleet: Ground) -> str:
+    def last_author(self, fleet: ProcessFleet) -> str:
         """Returns the member that wrote the last change."""
         return fleet.history()[-1]["author"]
 
-    def assert_only_left(self, fleet: Ground, left: set[str], gone: tuple[str, ...] = ()) -> None:
+    def assert_only_left(self, fleet: ProcessFleet, left: set[str], gone: tuple[str, ...] = ()) -> None:
         """Asserts that no rule was broken and that these zones were left and no others.
 
         gone: schedulers that were killed.
@@ -212,7 +212,7 @@
 class NoFailedZone(FleetTestCase):
     """Faults that must not be taken for a failed zone."""
 
-    def assert_nothing_left(self, fleet: Ground, wait_s: float = 4.0) -> None:
+    def assert_nothing_left(self, fleet: ProcessFleet, wait_s: float = 4.0) -> None:
         """Asserts that no zone is left for this long, which is far longer than a verdict takes."""
         end = time.monotonic() + wait_s
         while time.monotonic() < end:
@@ -253,7 +253,7 @@
 class SeveralZones(FleetTestCase):
     """Several zones fail together."""
 
-    def assert_some_zone_open(self, fleet: Ground) -> None:
+    def assert_some_zone_open(self, fleet: ProcessFleet) -> None:
         """Asserts that some zone was open after each change.
 
         A returning zone does not count, as it may be left again.
@@ -446,14 +446,14 @@
 class OperatorOrders(FleetTestCase):
     """Orders of an operator by the command line."""
 
-    def run_command(self, fleet: Ground, *words: str, at: str = "s4") -> tuple[int, str]:
+    def run_command(self, fleet: ProcessFleet, *words: str, at: str = "s4") -> tuple[int, str]:
         words = ("-m", "spanwing", "zones", *words, "--socket", f"{fleet.path}/{at}.sock")
         process = subprocess.run(
             [sys.executable, *words], cwd=ROOT, capture_output=True, text=True, timeout=30
         )
         return process.returncode, process.stdout + process.stderr
 
-    def give_order(self, fleet: Ground, *words: str, holds) -> None:
+    def give_order(self, fleet: ProcessFleet, *words: str, holds) -> None:
         """Gives an order; repeats it if the contact was lost meanwhile, as the command advises."""
         for _ in range(5):
             code, output = self.run_command(fleet, *words)
@@ -463,7 +463,7 @@
             fleet.until(fleet.contact)
         self.fail(output)
 
-    def rejection(self, fleet: Ground, *words: str) -> str:
+    def rejection(self, fleet: ProcessFleet, *words: str) -> str:
         code, output = self.run_command(fleet, *words)
         self.assertEqual(code, 1, output)
         self.assertEqual(output.count("\n"), 1, output)
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -15,7 +15,7 @@
 import pytest
 
 from measure.daemons import ROOT
-from measure.fleet.ground import Ground
+from measure.fleet.ground import ProcessFleet
 from spanwing.core.messages import JobRequest, RequestSubmitted
 from spanwing.policy.participant import MAX_ADMISSION_WAIT_MS, AdmissionDecision
 from spanwing.policy.service import PolicyService
@@ -25,8 +25,8 @@
 class PolicyFleetTestCase(unittest.TestCase):
     """Starts a fleet with a policy, and checks the fleet's rules at the end."""
 
-    def start_fleet(self, **options) -> Ground:
-        ground = Ground(policy=True, **options)
+    def start_fleet(self, **options) -> ProcessFleet:
+        ground = ProcessFleet(policy=True, **options)
         self.addCleanup(ground.close)
         ground.until(ground.contact)
         ground.until(lambda: len(self.policy_status(ground, "s0")["schedulers"]) == len(ground.schedulers))
@@ -34,13 +34,13 @@
         ground.until(lambda: sum(each["ev"] == "taken" for each in ground.records()) > 20)
         return ground
 
-    def policy_status(self, ground: Ground, name: str) -> dict[str, Any]:
+    def policy_status(self, ground: ProcessFleet, name: str) -> dict[str, Any]:
         return ground.ask(name, do="policy")
 
-    def versions(self, ground: Ground, names: list[str] | None = None) -> set[int]:
+    def versions(self, ground: ProcessFleet, names: list[str] | None = None) -> set[int]:
         return {self.policy_status(ground, name)["version"] for name in names or ground.reached()}
 
-    def run_command(self, ground: Ground, *arguments: str, at: str = "s4") -> tuple[int, str]:
+    def run_command(self, ground: ProcessFleet, *arguments: str, at: str = "s4") -> tuple[int, str]:
         """Runs `spanwing policy` at one scheduler; returns its exit status and output."""
         arguments = ("-m", "spanwing", "policy", "--socket", f"{ground.path}/{at}.sock", *arguments)
         process = subprocess.run(
@@ -48,7 +48,7 @@
         )
         return process.returncode, process.stdout + process.stderr
 
-    def write_policy_file(self, ground: Ground, at: str = "s4", **changes: Any) -> str:
+    def write_policy_file(self, ground: ProcessFleet, at: str = "s4", **changes: Any) -> str:
         """Writes the policy in force, with changes of its first class, to a file; returns its path."""
         text = json.loads(ground.ask(at, do="policy_text")["text"])
         text["classes"][0].update(changes)
@@ -56,13 +56,17 @@
         path.write_text(json.dumps(text))
         return str(path)
 
-    def propose(self, ground: Ground, *arguments: str, at: str = "s4", **changes: Any) -> tuple[int, str]:
+    def propose(
+        self, ground: ProcessFleet, *arguments: str, at: str = "s4", **changes: Any
+    ) -> tuple[int, str]:
         changes = changes or {"aim_ms": 310.0}
         return self.run_command(
             ground, "propose", self.write_policy_file(ground, at, **changes), *arguments, at=at
         )
 
-    def propose_in_background(self, ground: Ground, *arguments: str, at: str = "s4") -> list[tuple[int, str]]:
+    def propose_in_background(
+        self, ground: ProcessFleet, *arguments: str, at: str = "s4"
+    ) -> list[tuple[int, str]]:
         """Proposes a change in a thread; returns a list to which the result is appended."""
         results: list[tuple[int, str]] = []
         path = self.write_policy_file(ground, at, aim_ms=320.0)
@@ -73,7 +77,7 @@
         self.addCleanup(thread.join)
         return results
 
-    def check_fleet(self, ground: Ground, disturbed: tuple[str, ...] = ()) -> None:
+    def check_fleet(self, ground: ProcessFleet, disturbed: tuple[str, ...] = ()) -> None:
         ground.settle()
         self.assertEqual(ground.wrong(disturbed)[:5], [])
         outcomes: dict[int, set[tuple[bool, str]]] = {}
