--- a/measure/fleet/drawn.py
+++ b/measure/fleet/drawn.py
@@ -223,9 +223,9 @@
     played = Day(seed, form, command)
     ground = played.ground
     try:
-        ground.until(ground.contact)
+        ground.wait_until(ground.contact)
         ground.load(True)
-        ground.until(
+        ground.wait_until(
             lambda: all(
                 sum(
                     ground.zones_of(name)["zones"].get(zone, {}).get("seen_good", 0)
@@ -255,14 +255,14 @@
                 row["wrong"].append(f"{zone}, {row['how']}, was not left")
             else:
                 row["left_s"] = went - lost
-                ground.until(lambda: ground.states(zone) <= {"left", "returning", "open"})
+                ground.wait_until(lambda: ground.states(zone) <= {"left", "returning", "open"})
                 back = time.time()
                 played.bring_back(zone, row["how"])
                 if form == "return":
-                    ground.until(lambda: "returning" in ground.states(zone), OPEN_S)
+                    ground.wait_until(lambda: "returning" in ground.states(zone), OPEN_S)
                     played.play(steps)
                     played.go_on(*list(ground.stopped))
-                ground.until(
+                ground.wait_until(
                     lambda: not ground.starting and ground.contact() and ground.states(zone) == {"open"},
                     OPEN_S,
                 )
--- a/measure/fleet/ground.py
+++ b/measure/fleet/ground.py
@@ -395,7 +395,7 @@
     def contact(self, names: Iterable[str] | None = None) -> bool:
         return all(self.zones_of(name)["contact"] for name in (names or self.reached()))
 
-    def until(self, holds: Callable[[], bool], wait_s: float = PATIENCE_S) -> None:
+    def wait_until(self, holds: Callable[[], bool], wait_s: float = PATIENCE_S) -> None:
         """Wait for an event. Raises AssertionError with what all schedulers have, where it does not come."""
         end = time.monotonic() + wait_s
         while not holds():
--- a/measure/fleet/long.py
+++ b/measure/fleet/long.py
@@ -48,7 +48,7 @@
     names = [chr(ord("a") + number) for number in range(zones)]
     with ProcessFleet(schedulers, names, per_zone, 3, seed, rate, fleet_zones=way != "alone") as ground:
         if way != "alone":
-            ground.until(ground.contact, 60.0)
+            ground.wait_until(ground.contact, 60.0)
         ground.load(True)
         time.sleep(6.0)
         zone = "a"
@@ -68,7 +68,7 @@
         if way == "oracle":
             ground.ask(watch[-1], do="zones_order", order="leave", zone=zone)
         if way != "alone":
-            ground.until(lambda: ground.states(zone, watch) <= {"leaving", "left"}, 30.0)
+            ground.wait_until(lambda: ground.states(zone, watch) <= {"leaving", "left"}, 30.0)
         time.sleep(max(0.0, lost + WINDOW_S - time.time()))
         back = time.time()
         match kind:
@@ -87,7 +87,7 @@
         if way == "alone":
             time.sleep(10.0)
         else:
-            ground.until(lambda: ground.states(zone) == {"open"}, 60.0)
+            ground.wait_until(lambda: ground.states(zone) == {"open"}, 60.0)
             row["open_s"] = time.time() - back
         heard = events(ground, zone)
         if way != "alone":
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -28,10 +28,10 @@
     def start_fleet(self, **how) -> ProcessFleet:
         fleet = ProcessFleet(**how)
         self.addCleanup(fleet.close)
-        fleet.until(fleet.contact)
+        fleet.wait_until(fleet.contact)
         fleet.load(True)
         # A verdict needs evidence: some scheduler has good evidence on every zone.
-        fleet.until(lambda: all(self.good_workers_seen(fleet, zone) for zone in fleet.zones))
+        fleet.wait_until(lambda: all(self.good_workers_seen(fleet, zone) for zone in fleet.zones))
         return fleet
 
     def good_workers_seen(self, fleet: ProcessFleet, zone: str) -> int:
@@ -41,11 +41,11 @@
 
     def wait_until_left(self, fleet: ProcessFleet, *zones: str) -> None:
         for zone in zones:
-            fleet.until(lambda zone=zone: fleet.states(zone) == {"left"})
+            fleet.wait_until(lambda zone=zone: fleet.states(zone) == {"left"})
 
     def wait_until_open(self, fleet: ProcessFleet, *zones: str) -> None:
         for zone in zones:
-            fleet.until(lambda zone=zone: fleet.contact() and fleet.states(zone) == {"open"})
+            fleet.wait_until(lambda zone=zone: fleet.contact() and fleet.states(zone) == {"open"})
 
     def last_author(self, fleet: ProcessFleet) -> str:
         """Returns the member that wrote the last change."""
@@ -96,8 +96,8 @@
         cut = fleet.links(zone, rest)
         fleet.set(cut, there=False, back=False)
         others = ["s1", "s2", "s4"]
-        fleet.until(lambda: fleet.states("a", others) <= LEAVING_OR_LEFT)
-        fleet.until(lambda: not fleet.contact(["s0"]) and not fleet.contact(["s3"]))
+        fleet.wait_until(lambda: fleet.states("a", others) <= LEAVING_OR_LEFT)
+        fleet.wait_until(lambda: not fleet.contact(["s0"]) and not fleet.contact(["s3"]))
         fleet.set(cut)
         self.wait_until_open(fleet, "a")
         self.assert_only_left(fleet, {"a"})
@@ -124,7 +124,7 @@
         fleet.how("c", "failing")
         self.wait_until_left(fleet, "c")
         left_at = time.time()
-        fleet.until(lambda: self.good_workers_seen(fleet, "a") > 0)
+        fleet.wait_until(lambda: self.good_workers_seen(fleet, "a") > 0)
         # Schedulers in contact send nothing there; requests in flight may still arrive for 50 ms.
         arrivals = [
             each
@@ -141,7 +141,7 @@
         fleet.kill_zone("a")
         self.wait_until_left(fleet, "a")
         fleet.start_zone("a")
-        fleet.until(lambda: fleet.states("a") == {"returning"})
+        fleet.wait_until(lambda: fleet.states("a") == {"returning"})
         fleet.kill_zone("a")
         self.wait_until_left(fleet, "a")
         fleet.start_zone("a")
@@ -161,13 +161,13 @@
         fleet.how("b", "up")
         for step in (2, 3, 4):
             before = len(fleet.history())
-            fleet.until(
+            fleet.wait_until(
                 lambda step=step, before=before: any(
                     each["zone"] == "b" and each["step"] == step for each in fleet.history()[before:]
                 )
             )
             fleet.how("b", "failing")
-            fleet.until(
+            fleet.wait_until(
                 lambda before=before: any(
                     each["zone"] == "b" and each["state"] == "leaving" for each in fleet.history()[before:]
                 )
@@ -199,11 +199,11 @@
         def has_good_evidence() -> bool:
             return any(each["seen_good"] for each in fleet.zones_of("s4")["zones"].values())
 
-        fleet.until(lambda: not has_good_evidence())
+        fleet.wait_until(lambda: not has_good_evidence())
         time.sleep(3.0)
         self.assertEqual(fleet.history("s4"), [])
         fleet.set(fleet.links(["s4"], fleet.workers))
-        fleet.until(has_good_evidence)
+        fleet.wait_until(has_good_evidence)
         self.assertEqual(fleet.history("s4"), [])
         fleet.settle()
 
@@ -226,14 +226,14 @@
             fleet.set(links, **fault)
             self.assert_nothing_left(fleet)
             fleet.set(links)
-            fleet.until(lambda: any(fleet.zones_of("s4")["zones"][zone]["seen_good"] for zone in "abc"))
+            fleet.wait_until(lambda: any(fleet.zones_of("s4")["zones"][zone]["seen_good"] for zone in "abc"))
         fleet.settle()
 
     def test_two_of_one_zone_see_all_others_fail(self) -> None:
         fleet = self.start_fleet(seed=12)
         others = [*fleet.of_zone("b"), *fleet.of_zone("c")]
         fleet.set(fleet.links(["s0", "s3"], others), refused=True)
-        fleet.until(lambda: fleet.zones_of("s3")["zones"]["b"]["seen_bad"] > 0)
+        fleet.wait_until(lambda: fleet.zones_of("s3")["zones"]["b"]["seen_bad"] > 0)
         self.assert_nothing_left(fleet)
         fleet.settle()
         self.assertEqual(fleet.wrong()[:5], [])
@@ -243,7 +243,9 @@
         fleet.set(fleet.links(fleet.schedulers, ["discovery"]), there=False, back=False)
         fleet.parts["wa0"].do({"how": "failing"})
         fleet.how("b", "full")
-        fleet.until(lambda: any(fleet.zones_of(name)["zones"]["a"]["seen_bad"] for name in fleet.reached()))
+        fleet.wait_until(
+            lambda: any(fleet.zones_of(name)["zones"]["a"]["seen_bad"] for name in fleet.reached())
+        )
         self.assert_nothing_left(fleet)
         fleet.settle()
         self.assertEqual(fleet.wrong()[:5], [])
@@ -269,7 +271,7 @@
             fleet.how(zone, "failing")
         self.wait_until_left(fleet, "a", "b")
         fleet.how("c", "failing")
-        fleet.until(lambda: self.good_workers_seen(fleet, "c") == 0)
+        fleet.wait_until(lambda: self.good_workers_seen(fleet, "c") == 0)
         self.assert_some_zone_open(fleet)  # c is open, unless another zone has opened again before
         for zone in fleet.zones:
             fleet.how(zone, "up")
@@ -307,14 +309,14 @@
             fleet.start(name)
 
         fleet.kill_zone("b")
-        fleet.until(lambda: fleet.states("b", fleet.reached()[:1]) <= LEAVING_OR_LEFT)
+        fleet.wait_until(lambda: fleet.states("b", fleet.reached()[:1]) <= LEAVING_OR_LEFT)
         kill()
         self.wait_until_left(fleet, "b")
         kill()
         fleet.start_zone("b")
-        fleet.until(lambda: "returning" in fleet.states("b"))
+        fleet.wait_until(lambda: "returning" in fleet.states("b"))
         kill()
-        fleet.until(lambda: any(each["zone"] == "b" and each["step"] == 3 for each in fleet.history()))
+        fleet.wait_until(lambda: any(each["zone"] == "b" and each["step"] == 3 for each in fleet.history()))
         kill()
         self.wait_until_open(fleet, "b")
         self.assert_only_left(fleet, {"b"}, tuple(killed))
@@ -322,12 +324,12 @@
     def test_the_leader_is_stopped_while_a_zone_is_left_and_continues(self) -> None:
         fleet = self.start_fleet(seed=32)
         fleet.kill_zone("b")
-        fleet.until(lambda: fleet.states("b", fleet.reached()[:1]) <= LEAVING_OR_LEFT)
+        fleet.wait_until(lambda: fleet.states("b", fleet.reached()[:1]) <= LEAVING_OR_LEFT)
         name = self.last_author(fleet)
         fleet.stop(name)
         self.wait_until_left(fleet, "b")
         fleet.start_zone("b")
-        fleet.until(lambda: fleet.states("b") == {"returning"})
+        fleet.wait_until(lambda: fleet.states("b") == {"returning"})
         fleet.go_on(name)
         self.wait_until_open(fleet, "b")
         self.assert_only_left(fleet, {"b"}, (name,))
@@ -339,7 +341,7 @@
         fleet.start_zone("b")
         stopped: list[str] = []
         for step in (1, 2, 3, 4):
-            fleet.until(
+            fleet.wait_until(
                 lambda step=step: any(
                     each["zone"] == "b" and each["step"] == step for each in fleet.history()
                 )
@@ -347,7 +349,9 @@
             name = self.last_author(fleet)
             fleet.stop(name)
             # By then another member leads; the stopped one finds that it no longer does.
-            fleet.until(lambda name=name: self.last_author(fleet) != name or fleet.states("b") == {"open"})
+            fleet.wait_until(
+                lambda name=name: self.last_author(fleet) != name or fleet.states("b") == {"open"}
+            )
             fleet.go_on(name)
             stopped.append(name)
         self.wait_until_open(fleet, "b")
@@ -358,12 +362,12 @@
         fleet.kill_zone("c")
         self.wait_until_left(fleet, "c")
         fleet.start_zone("c")
-        fleet.until(lambda: fleet.states("c") == {"returning"})
+        fleet.wait_until(lambda: fleet.states("c") == {"returning"})
         lost = next(name for name in fleet.members if name != self.last_author(fleet))
         fleet.kill(lost)
         rest = [name for name in fleet.schedulers if name != lost]
         for step in (2, 3, 4):
-            fleet.until(
+            fleet.wait_until(
                 lambda step=step: any(
                     each["zone"] == "c" and each["step"] >= step for each in fleet.history()
                 )
@@ -373,7 +377,7 @@
                 fleet.start(name, wait=False)
             for name in rest:
                 fleet.serving(name)
-            fleet.until(fleet.contact)
+            fleet.wait_until(fleet.contact)
         self.wait_until_open(fleet, "c")
         self.assert_only_left(fleet, {"c"}, tuple(fleet.schedulers))
 
@@ -383,7 +387,7 @@
         fleet.set(fleet.links(["s4"], ends), there=False, back=False)
         fleet.kill_zone("a")
         others = ["s0", "s1", "s2", "s3"]
-        fleet.until(lambda: fleet.states("a", others) == {"left"})
+        fleet.wait_until(lambda: fleet.states("a", others) == {"left"})
         fleet.set(fleet.links(["s4"], ends))
         fleet.start_zone("a")
         self.wait_until_open(fleet, "a")
@@ -394,11 +398,11 @@
         fleet.kill_zone("c")
         self.wait_until_left(fleet, "c")
         fleet.start_zone("c")
-        fleet.until(lambda: fleet.states("c") == {"returning"})
+        fleet.wait_until(lambda: fleet.states("c") == {"returning"})
         fleet.kill("s0", "s1")
-        fleet.until(lambda: not any(fleet.contact([name]) for name in fleet.reached()))
+        fleet.wait_until(lambda: not any(fleet.contact([name]) for name in fleet.reached()))
         served = len(fleet.records())
-        fleet.until(lambda: len(fleet.records()) > served + 50)  # requests do not wait for the store
+        fleet.wait_until(lambda: len(fleet.records()) > served + 50)  # requests do not wait for the store
         fleet.start("s0", wait=False)
         fleet.start("s1", wait=False)
         fleet.serving("s0")
@@ -411,11 +415,11 @@
         fleet.kill_zone("a")
         self.wait_until_left(fleet, "a")
         fleet.start_zone("a")
-        fleet.until(lambda: fleet.states("a") == {"returning"})
+        fleet.wait_until(lambda: fleet.states("a") == {"returning"})
         fleet.stop("s4")
-        fleet.until(lambda: any(each["step"] == 3 for each in fleet.history()))
+        fleet.wait_until(lambda: any(each["step"] == 3 for each in fleet.history()))
         fleet.go_on("s4")
-        fleet.until(fleet.contact)
+        fleet.wait_until(fleet.contact)
         fleet.kill(*fleet.schedulers)
         for name in fleet.schedulers:
             fleet.start(name, wait=False)
@@ -460,7 +464,7 @@
             if code == 0 or holds():
                 return
             self.assertRegex(output, "look before|is reached")
-            fleet.until(fleet.contact)
+            fleet.wait_until(fleet.contact)
         self.fail(output)
 
     def rejection(self, fleet: ProcessFleet, *words: str) -> str:
@@ -515,7 +519,7 @@
         for each in processes:
             each.stderr.close()
         self.assertLessEqual([code for code, _ in results].count(0), 1, results)
-        fleet.until(fleet.contact)
+        fleet.wait_until(fleet.contact)
         self.assertLess(
             sum(fleet.states(zone) <= LEAVING_OR_LEFT for zone in fleet.zones), 3, "no zone is in use"
         )
@@ -524,7 +528,7 @@
         code, output = self.run_command(fleet, "--json")
         self.assertEqual((code, json.loads(output)["contact"]), (0, True))
         fleet.kill("s0", "s1")
-        fleet.until(lambda: not fleet.contact(["s4"]))
+        fleet.wait_until(lambda: not fleet.contact(["s4"]))
         self.rejection(fleet, "hold", "c")
         fleet.settle()
 
@@ -547,7 +551,7 @@
                 mismatches.append(zone_status)
             return fleet.states("c") == {"left"}
 
-        fleet.until(is_left)
+        fleet.wait_until(is_left)
         self.assertEqual(mismatches, [])
         shares = [each["share"] for each in fleet.history() if each["zone"] == "c"]
         self.assertEqual(shares, sorted(shares, reverse=True))
@@ -619,7 +623,7 @@
         )
         many = {f"z{number}": [[], [1], 0, 0] for number in range(60)}
         renew(payload=[many])
-        fleet.until(fleet.contact)
+        fleet.wait_until(fleet.contact)
         self.assertEqual(fleet.history(), [])
         fleet.settle()
         self.assertEqual(fleet.wrong()[:5], [])
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -28,10 +28,12 @@
     def start_fleet(self, **options) -> ProcessFleet:
         ground = ProcessFleet(policy=True, **options)
         self.addCleanup(ground.close)
-        ground.until(ground.contact)
-        ground.until(lambda: len(self.policy_status(ground, "s0")["schedulers"]) == len(ground.schedulers))
+        ground.wait_until(ground.contact)
+        ground.wait_until(
+            lambda: len(self.policy_status(ground, "s0")["schedulers"]) == len(ground.schedulers)
+        )
         ground.load(True)
-        ground.until(lambda: sum(each["ev"] == "taken" for each in ground.records()) > 20)
+        ground.wait_until(lambda: sum(each["ev"] == "taken" for each in ground.records()) > 20)
         return ground
 
     def policy_status(self, ground: ProcessFleet, name: str) -> dict[str, Any]:
@@ -93,7 +95,7 @@
         ground = self.start_fleet(seed=71)
         code, output = self.propose(ground, "--reason", "shorter")
         self.assertEqual((code, "version 2 is in force\n" in output), (0, True), output)
-        ground.until(lambda: self.versions(ground) == {2})
+        ground.wait_until(lambda: self.versions(ground) == {2})
         code, output = self.propose(ground, "--base", "1")
         self.assertEqual((code, output.count("\n")), (1, 1), output)
         self.assertIn("based on version 1, but version 2 by operator at s4", output)
@@ -106,7 +108,7 @@
             self.assertEqual((code, output.count("\n"), reason in output), (1, 1, True), output)
         code, output = self.run_command(ground, "rollback", "1")
         self.assertEqual((code, "version 3 is in force\n" in output), (0, True), output)
-        ground.until(lambda: self.versions(ground) == {3})
+        ground.wait_until(lambda: self.versions(ground) == {3})
         self.assertEqual(json.loads(self.run_command(ground, "show")[1])["classes"][0]["aim_ms"], 300.0)
         history = json.loads(self.run_command(ground, "history", "--json")[1])
         self.assertEqual([(each["number"], each["taken"]) for each in history], [(2, True), (3, True)])
@@ -116,16 +118,16 @@
         ground = self.start_fleet(seed=72)
         ground.stop("s3")
         first_results = self.propose_in_background(ground, "--wait", "30")
-        ground.until(lambda: self.policy_status(ground, "s0")["change"] is not None)
+        ground.wait_until(lambda: self.policy_status(ground, "s0")["change"] is not None)
         code, output = self.propose(ground, at="s1", aim_ms=350.0)
         self.assertEqual(code, 1, output)
         self.assertIn("version 2 by operator at s4 is under way", output)
         self.assertEqual(self.run_command(ground, "abort", at="s1")[0], 0)
-        ground.until(lambda: bool(first_results))
+        ground.wait_until(lambda: bool(first_results))
         self.assertEqual(first_results[0][0], 1)
         self.assertIn("given up by operator at s1", first_results[0][1])
         ground.go_on("s3")
-        ground.until(ground.contact)
+        ground.wait_until(ground.contact)
         self.assertEqual(self.versions(ground), {1})
         self.check_fleet(ground, ("s3",))
 
@@ -143,10 +145,10 @@
         self.assertIn("s3 is not in contact", output)
         self.assertEqual(self.versions(ground), {1})
         ground.set(links)
-        ground.until(ground.contact)
+        ground.wait_until(ground.contact)
         code, output = self.propose(ground)
         self.assertEqual(code, 0, output)
-        ground.until(lambda: self.versions(ground) == {2})
+        ground.wait_until(lambda: self.versions(ground) == {2})
         self.check_fleet(ground)
 
     def test_a_stopped_scheduler_accepts_no_request_under_the_old_version(self) -> None:
@@ -155,12 +157,12 @@
         code, output = self.propose(ground, "--wait", "30")  # succeeds once the permit of s3 has expired
         self.assertEqual(code, 0, output)
         others = ground.reached()
-        ground.until(lambda: self.versions(ground, others) == {2})
+        ground.wait_until(lambda: self.versions(ground, others) == {2})
         record_count = len(ground.records())
-        ground.until(lambda: len(ground.records()) > record_count + 50)
+        ground.wait_until(lambda: len(ground.records()) > record_count + 50)
         ground.go_on("s3")
-        ground.until(lambda: self.versions(ground) == {2})
-        ground.until(
+        ground.wait_until(lambda: self.versions(ground) == {2})
+        ground.wait_until(
             lambda: any(
                 each["ev"] == "taken" and each["scheduler"] == "s3" and each["version"] == 2
                 for each in ground.records()
@@ -175,7 +177,7 @@
             code, output = self.propose(ground, "--wait", "30", "--gone", "s3", aim_ms=aim_ms)
             self.assertEqual(code, 0, output)
         ground.start("s3")
-        ground.until(
+        ground.wait_until(
             lambda: any(
                 each["ev"] == "taken" and each["scheduler"] == "s3" and each["version"] == 4
                 for each in ground.records()
@@ -192,14 +194,14 @@
         ground = self.start_fleet(seed=76)
         ground.stop("s3")  # keeps the change in the state `asking`
         results = self.propose_in_background(ground, "--wait", "30")
-        ground.until(lambda: self.policy_status(ground, "s4")["change"] is not None)
+        ground.wait_until(lambda: self.policy_status(ground, "s4")["change"] is not None)
         connected_member = self.policy_status(ground, "s4")["by"]
         ground.kill(connected_member)
         ground.go_on("s3")
         ground.start(connected_member)
-        ground.until(lambda: bool(results), 45.0)
-        ground.until(lambda: not ground.starting and ground.contact())
-        ground.until(lambda: len(self.versions(ground)) == 1)
+        ground.wait_until(lambda: bool(results), 45.0)
+        ground.wait_until(lambda: not ground.starting and ground.contact())
+        ground.wait_until(lambda: len(self.versions(ground)) == 1)
         self.assertEqual(results[0][0] == 0, self.versions(ground) == {2}, results)
         self.check_fleet(ground, ("s3", connected_member))
 
@@ -207,22 +209,22 @@
         ground = self.start_fleet(seed=77, away_ms=14000.0)
         code, output = self.propose(ground)
         self.assertEqual(code, 0, output)
-        ground.until(lambda: self.versions(ground) == {2})
-        ground.until(lambda: (ground.path / "policy-s4" / "version-2.json").exists())
+        ground.wait_until(lambda: self.versions(ground) == {2})
+        ground.wait_until(lambda: (ground.path / "policy-s4" / "version-2.json").exists())
         ground.kill("s0", "s1")
         code, output = self.propose(ground)
         self.assertEqual(code, 1, output)  # no change without a majority
         ground.kill("s4")
         ground.start("s4")  # starts without the store, within its cached permit
         self.assertEqual(self.policy_status(ground, "s4")["version"], 2)
-        ground.until(
+        ground.wait_until(
             lambda: all(self.policy_status(ground, name)["may"] == "refuse" for name in ground.reached())
         )
         ground.start("s0", wait=False)
         ground.start("s1", wait=False)
         ground.serving("s0")
         ground.serving("s1")
-        ground.until(
+        ground.wait_until(
             lambda: all(self.policy_status(ground, name)["may"] == "take" for name in ground.reached())
         )
         statuses = {name: self.policy_status(ground, name) for name in ground.reached()}
@@ -232,7 +234,7 @@
     def test_all_processes_are_killed_and_restarted_during_a_change(self) -> None:
         ground = self.start_fleet(seed=78)
         self.propose_in_background(ground, "--wait", "5")
-        ground.until(
+        ground.wait_until(
             lambda: self.policy_status(ground, "s0")["change"] is not None or self.versions(ground) != {1}
         )
         ground.kill(*ground.schedulers)
@@ -240,14 +242,14 @@
             ground.start(name, wait=False)
         for name in ground.schedulers:
             ground.serving(name)
-        ground.until(
+        ground.wait_until(
             lambda: (
                 ground.contact()
                 and all(self.policy_status(ground, name)["change"] is None for name in ground.reached())
             ),
             45.0,
         )
-        ground.until(lambda: len(self.versions(ground)) == 1)
+        ground.wait_until(lambda: len(self.versions(ground)) == 1)
         self.check_fleet(ground, tuple(ground.schedulers))
 
 
