--- a/measure/fleet/drawn.py
+++ b/measure/fleet/drawn.py
@@ -197,9 +197,9 @@
             case "killed":
                 ground.kill_zone(zone)
             case "silent":
-                ground.stop(*ground.of_zone(zone))
+                ground.stop(*ground.workers_in_zone(zone))
             case "late":
-                ground.set(ground.links(ground.schedulers, ground.of_zone(zone)), slow_s=2.0)
+                ground.set(ground.links(ground.schedulers, ground.workers_in_zone(zone)), slow_s=2.0)
             case _:
                 ground.how(zone, "failing")
 
@@ -209,9 +209,9 @@
             case "killed":
                 ground.start_zone(zone)
             case "silent":
-                ground.go_on(*ground.of_zone(zone))
+                ground.go_on(*ground.workers_in_zone(zone))
             case "late":
-                ground.set(ground.links(ground.schedulers, ground.of_zone(zone)))
+                ground.set(ground.links(ground.schedulers, ground.workers_in_zone(zone)))
             case _:
                 ground.how(zone, "up")
 
--- a/measure/fleet/ground.py
+++ b/measure/fleet/ground.py
@@ -353,21 +353,21 @@
 
     # -- zones
 
-    def of_zone(self, zone: str) -> list[str]:
+    def workers_in_zone(self, zone: str) -> list[str]:
         return [name for name, each in self.workers.items() if each == zone]
 
     def kill_zone(self, zone: str) -> None:
-        self.kill(*self.of_zone(zone))
+        self.kill(*self.workers_in_zone(zone))
 
     def start_zone(self, zone: str) -> None:
         """Its workers are back, cold, and discovery says so."""
-        for name in self.of_zone(zone):
+        for name in self.workers_in_zone(zone):
             self.parts[name].close()
             self.start_worker(name, cold=True)
-        self.list_workers(self.of_zone(zone))
+        self.list_workers(self.workers_in_zone(zone))
 
     def how(self, zone: str, how: str) -> None:
-        for name in self.of_zone(zone):
+        for name in self.workers_in_zone(zone):
             self.parts[name].do({"how": how})
 
     # -- what is told
--- a/measure/fleet/long.py
+++ b/measure/fleet/long.py
@@ -52,14 +52,17 @@
         ground.load(True)
         time.sleep(6.0)
         zone = "a"
-        inside = [*ground.of_zone(zone), *(name for name in ground.schedulers if ground.zone[name] == zone)]
+        inside = [
+            *ground.workers_in_zone(zone),
+            *(name for name in ground.schedulers if ground.zone[name] == zone),
+        ]
         outside = [name for name in (*ground.schedulers, *ground.workers) if name not in inside]
         lost = time.time()
         match kind:
             case "killed":
                 ground.kill_zone(zone)
             case "silent":
-                ground.stop(*ground.of_zone(zone))
+                ground.stop(*ground.workers_in_zone(zone))
             case "failing":
                 ground.how(zone, "failing")
             case "cut":
@@ -75,7 +78,7 @@
             case "killed":
                 ground.start_zone(zone)
             case "silent":
-                ground.go_on(*ground.of_zone(zone))
+                ground.go_on(*ground.workers_in_zone(zone))
             case "failing":
                 ground.how(zone, "up")
             case "cut":
@@ -104,7 +107,7 @@
             tried = [at for told in heard.values() for at, state in told if state == "returning"]
             until = min([*tried, back])
             row["into"] = sum(
-                len(check.into(records, ground.of_zone(zone), at + 0.05, until, [name]))
+                len(check.into(records, ground.workers_in_zone(zone), at + 0.05, until, [name]))
                 for name, at in first.items()
             )
         row["fates"] = check.fates(records, lost, lost + WINDOW_S)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -91,7 +91,7 @@
 
     def test_silent_with_its_schedulers_cut_off(self) -> None:
         fleet = self.start_fleet(seed=3)
-        zone = ["s0", "s3", *fleet.of_zone("a")]
+        zone = ["s0", "s3", *fleet.workers_in_zone("a")]
         rest = [name for name in (*fleet.schedulers, *fleet.workers) if name not in zone]
         cut = fleet.links(zone, rest)
         fleet.set(cut, there=False, back=False)
@@ -104,15 +104,15 @@
 
     def test_silent(self) -> None:
         fleet = self.start_fleet(seed=4)
-        fleet.stop(*fleet.of_zone("a"))
+        fleet.stop(*fleet.workers_in_zone("a"))
         self.wait_until_left(fleet, "a")
-        fleet.go_on(*fleet.of_zone("a"))
+        fleet.go_on(*fleet.workers_in_zone("a"))
         self.wait_until_open(fleet, "a")
         self.assert_only_left(fleet, {"a"})
 
     def test_slow_by_two_seconds(self) -> None:
         fleet = self.start_fleet(seed=5)
-        links = fleet.links(fleet.schedulers, fleet.of_zone("b"))
+        links = fleet.links(fleet.schedulers, fleet.workers_in_zone("b"))
         fleet.set(links, slow_s=2.0)
         self.wait_until_left(fleet, "b")
         fleet.set(links)
@@ -129,7 +129,9 @@
         arrivals = [
             each
             for each in fleet.records()
-            if each["ev"] == "got" and each["worker"] in fleet.of_zone("c") and each["t"] > left_at + 0.05
+            if each["ev"] == "got"
+            and each["worker"] in fleet.workers_in_zone("c")
+            and each["t"] > left_at + 0.05
         ]
         self.assertEqual(arrivals, [])
         fleet.how("c", "up")
@@ -231,7 +233,7 @@
 
     def test_two_of_one_zone_see_all_others_fail(self) -> None:
         fleet = self.start_fleet(seed=12)
-        others = [*fleet.of_zone("b"), *fleet.of_zone("c")]
+        others = [*fleet.workers_in_zone("b"), *fleet.workers_in_zone("c")]
         fleet.set(fleet.links(["s0", "s3"], others), refused=True)
         fleet.wait_until(lambda: fleet.zones_of("s3")["zones"]["b"]["seen_bad"] > 0)
         self.assert_nothing_left(fleet)
@@ -606,8 +608,8 @@
             renew(payload=payload)  # the lease is granted, the evidence is ignored
         rejected = fleet.zones_of("s1")["refused"] + fleet.zones_of("s0")["refused"]
         # Evidence from observers whose position is not configured is ignored: they report a failed zone.
-        bad = [short_worker_id(worker_id_of(name)) for name in fleet.of_zone("a")]
-        good = [short_worker_id(worker_id_of(name)) for zone in "bc" for name in fleet.of_zone(zone)]
+        bad = [short_worker_id(worker_id_of(name)) for name in fleet.workers_in_zone("a")]
+        good = [short_worker_id(worker_id_of(name)) for zone in "bc" for name in fleet.workers_in_zone(zone)]
         for number in range(30):
             renew(
                 session=f"x{number % 6}.1",
