--- a/measure/fleet/drawn.py
+++ b/measure/fleet/drawn.py
@@ -156,7 +156,7 @@
         self.ground.parts[name].do({"how": how})
 
     def zone(self, name: str, how: str) -> None:
-        self.ground.how(name, how)
+        self.ground.set_worker_mode(name, how)
 
     def discovery(self, how: dict[str, Any]) -> None:
         self.ground.set(self.ground.links(SCHEDULERS, ["discovery"]), **how)
@@ -201,7 +201,7 @@
             case "late":
                 ground.set(ground.links(ground.schedulers, ground.workers_in_zone(zone)), slow_s=2.0)
             case _:
-                ground.how(zone, "failing")
+                ground.set_worker_mode(zone, "failing")
 
     def bring_back(self, zone: str, how: str) -> None:
         ground = self.ground
@@ -213,7 +213,7 @@
             case "late":
                 ground.set(ground.links(ground.schedulers, ground.workers_in_zone(zone)))
             case _:
-                ground.how(zone, "up")
+                ground.set_worker_mode(zone, "up")
 
 
 def day(form: str, seed: int, command: tuple[str, ...] = ("-m", "spanwing")) -> dict[str, Any]:
--- a/measure/fleet/ground.py
+++ b/measure/fleet/ground.py
@@ -366,7 +366,7 @@
             self.start_worker(name, cold=True)
         self.list_workers(self.workers_in_zone(zone))
 
-    def how(self, zone: str, how: str) -> None:
+    def set_worker_mode(self, zone: str, how: str) -> None:
         for name in self.workers_in_zone(zone):
             self.parts[name].do({"how": how})
 
--- a/measure/fleet/long.py
+++ b/measure/fleet/long.py
@@ -64,7 +64,7 @@
             case "silent":
                 ground.stop(*ground.workers_in_zone(zone))
             case "failing":
-                ground.how(zone, "failing")
+                ground.set_worker_mode(zone, "failing")
             case "cut":
                 ground.set(ground.links(inside, outside), there=False, back=False)
         watch = [name for name in ground.schedulers if kind != "cut" or name not in inside]
@@ -80,7 +80,7 @@
             case "silent":
                 ground.go_on(*ground.workers_in_zone(zone))
             case "failing":
-                ground.how(zone, "up")
+                ground.set_worker_mode(zone, "up")
             case "cut":
                 ground.set(ground.links(inside, outside))
         row: dict[str, Any] = {"way": way, "kind": kind, "seed": seed}
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -121,7 +121,7 @@
 
     def test_failing_fast(self) -> None:
         fleet = self.start_fleet(seed=6)
-        fleet.how("c", "failing")
+        fleet.set_worker_mode("c", "failing")
         self.wait_until_left(fleet, "c")
         left_at = time.time()
         fleet.wait_until(lambda: self.good_workers_seen(fleet, "a") > 0)
@@ -134,7 +134,7 @@
             and each["t"] > left_at + 0.05
         ]
         self.assertEqual(arrivals, [])
-        fleet.how("c", "up")
+        fleet.set_worker_mode("c", "up")
         self.wait_until_open(fleet, "c")
         self.assert_only_left(fleet, {"c"})
 
@@ -158,9 +158,9 @@
 
     def test_it_fails_again_at_each_step_of_its_return(self) -> None:
         fleet = self.start_fleet(seed=10)
-        fleet.how("b", "failing")
+        fleet.set_worker_mode("b", "failing")
         self.wait_until_left(fleet, "b")
-        fleet.how("b", "up")
+        fleet.set_worker_mode("b", "up")
         for step in (2, 3, 4):
             before = len(fleet.history())
             fleet.wait_until(
@@ -168,13 +168,13 @@
                     each["zone"] == "b" and each["step"] == step for each in fleet.history()[before:]
                 )
             )
-            fleet.how("b", "failing")
+            fleet.set_worker_mode("b", "failing")
             fleet.wait_until(
                 lambda before=before: any(
                     each["zone"] == "b" and each["state"] == "leaving" for each in fleet.history()[before:]
                 )
             )
-            fleet.how("b", "up")
+            fleet.set_worker_mode("b", "up")
         self.wait_until_open(fleet, "b")
         self.assertGreaterEqual(fleet.zones_of("s0")["zones"]["b"]["failures"], 4)
         self.assert_only_left(fleet, {"b"})
@@ -244,7 +244,7 @@
         fleet = self.start_fleet(seed=13, per_zone=3)
         fleet.set(fleet.links(fleet.schedulers, ["discovery"]), there=False, back=False)
         fleet.parts["wa0"].do({"how": "failing"})
-        fleet.how("b", "full")
+        fleet.set_worker_mode("b", "full")
         fleet.wait_until(
             lambda: any(fleet.zones_of(name)["zones"]["a"]["seen_bad"] for name in fleet.reached())
         )
@@ -270,13 +270,13 @@
     def test_two_together_and_the_last_is_never_left(self) -> None:
         fleet = self.start_fleet(seed=21)
         for zone in ("a", "b"):
-            fleet.how(zone, "failing")
+            fleet.set_worker_mode(zone, "failing")
         self.wait_until_left(fleet, "a", "b")
-        fleet.how("c", "failing")
+        fleet.set_worker_mode("c", "failing")
         fleet.wait_until(lambda: self.good_workers_seen(fleet, "c") == 0)
         self.assert_some_zone_open(fleet)  # c is open, unless another zone has opened again before
         for zone in fleet.zones:
-            fleet.how(zone, "up")
+            fleet.set_worker_mode(zone, "up")
         self.wait_until_open(fleet, *fleet.zones)
         self.assert_some_zone_open(fleet)
         fleet.settle()
@@ -438,9 +438,9 @@
     def test_a_zone_that_fails_every_other_second_is_left_for_longer_each_time(self) -> None:
         fleet = self.start_fleet(seed=41)
         for _ in range(8):
-            fleet.how("b", "failing")
+            fleet.set_worker_mode("b", "failing")
             time.sleep(1.0)
-            fleet.how("b", "up")
+            fleet.set_worker_mode("b", "up")
             time.sleep(1.0)
         leaves = [each for each in fleet.history() if each["state"] == "leaving"]
         self.assertLessEqual(len(leaves), 3)
@@ -492,12 +492,12 @@
         self.wait_until_open(fleet, "a")
         is_on_hold = lambda: fleet.zones_of("s4")["zones"]["b"]["held"]  # noqa: E731 - called several times
         self.give_order(fleet, "hold", "b", holds=is_on_hold)
-        fleet.how("b", "failing")
+        fleet.set_worker_mode("b", "failing")
         time.sleep(3.0)
         self.assertEqual(fleet.states("b"), {"open"})
         self.give_order(fleet, "release", "b", holds=lambda: not is_on_hold())
         self.wait_until_left(fleet, "b")
-        fleet.how("b", "up")
+        fleet.set_worker_mode("b", "up")
         self.wait_until_open(fleet, "b")
         processes = [
             subprocess.Popen(
