--- a/measure/fleet/drawn.py
+++ b/measure/fleet/drawn.py
@@ -223,7 +223,7 @@
     played = Day(seed, form, command)
     ground = played.ground
     try:
-        ground.wait_until(ground.contact)
+        ground.wait_until(ground.all_in_contact)
         ground.load(True)
         ground.wait_until(
             lambda: all(
@@ -263,11 +263,13 @@
                     played.play(steps)
                     played.go_on(*list(ground.stopped))
                 ground.wait_until(
-                    lambda: not ground.starting and ground.contact() and ground.states(zone) == {"open"},
+                    lambda: (
+                        not ground.starting and ground.all_in_contact() and ground.states(zone) == {"open"}
+                    ),
                     OPEN_S,
                 )
                 row["open_s"] = time.time() - back
-        history = ground.history(next(name for name in ground.reached() if ground.contact([name])))
+        history = ground.history(next(name for name in ground.reached() if ground.all_in_contact([name])))
         may = () if form == "false" else (zone,)
         row["wrong"] += [
             f"{each['zone']} was left: {each['reason']}"
--- a/measure/fleet/followers.py
+++ b/measure/fleet/followers.py
@@ -118,7 +118,7 @@
 
 def measure(count: int) -> str:
     with ProcessFleet(3, members=3, balancers=count + 3) as ground:
-        ground.wait_until(ground.contact)
+        ground.wait_until(ground.all_in_contact)
         time.sleep(SETTLE_S)
         idle = {name: cpu_s(ground, name) for name in ground.members}
         time.sleep(LOOK_S)
--- a/measure/fleet/ground.py
+++ b/measure/fleet/ground.py
@@ -392,7 +392,7 @@
             for name in (names or self.reached())
         }
 
-    def contact(self, names: Iterable[str] | None = None) -> bool:
+    def all_in_contact(self, names: Iterable[str] | None = None) -> bool:
         return all(self.zones_of(name)["contact"] for name in (names or self.reached()))
 
     def wait_until(self, holds: Callable[[], bool], wait_s: float = PATIENCE_S) -> None:
--- a/measure/fleet/long.py
+++ b/measure/fleet/long.py
@@ -48,7 +48,7 @@
     names = [chr(ord("a") + number) for number in range(zones)]
     with ProcessFleet(schedulers, names, per_zone, 3, seed, rate, fleet_zones=way != "alone") as ground:
         if way != "alone":
-            ground.wait_until(ground.contact, 60.0)
+            ground.wait_until(ground.all_in_contact, 60.0)
         ground.load(True)
         time.sleep(6.0)
         zone = "a"
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -28,7 +28,7 @@
     def start_fleet(self, **how) -> ProcessFleet:
         fleet = ProcessFleet(**how)
         self.addCleanup(fleet.close)
-        fleet.wait_until(fleet.contact)
+        fleet.wait_until(fleet.all_in_contact)
         fleet.load(True)
         # A verdict needs evidence: some scheduler has good evidence on every zone.
         fleet.wait_until(lambda: all(self.good_workers_seen(fleet, zone) for zone in fleet.zones))
@@ -45,7 +45,7 @@
 
     def wait_until_open(self, fleet: ProcessFleet, *zones: str) -> None:
         for zone in zones:
-            fleet.wait_until(lambda zone=zone: fleet.contact() and fleet.states(zone) == {"open"})
+            fleet.wait_until(lambda zone=zone: fleet.all_in_contact() and fleet.states(zone) == {"open"})
 
     def last_author(self, fleet: ProcessFleet) -> str:
         """Returns the member that wrote the last change."""
@@ -97,7 +97,7 @@
         fleet.set(cut, there=False, back=False)
         others = ["s1", "s2", "s4"]
         fleet.wait_until(lambda: fleet.states("a", others) <= LEAVING_OR_LEFT)
-        fleet.wait_until(lambda: not fleet.contact(["s0"]) and not fleet.contact(["s3"]))
+        fleet.wait_until(lambda: not fleet.all_in_contact(["s0"]) and not fleet.all_in_contact(["s3"]))
         fleet.set(cut)
         self.wait_until_open(fleet, "a")
         self.assert_only_left(fleet, {"a"})
@@ -379,7 +379,7 @@
                 fleet.start(name, wait=False)
             for name in rest:
                 fleet.serving(name)
-            fleet.wait_until(fleet.contact)
+            fleet.wait_until(fleet.all_in_contact)
         self.wait_until_open(fleet, "c")
         self.assert_only_left(fleet, {"c"}, tuple(fleet.schedulers))
 
@@ -402,7 +402,7 @@
         fleet.start_zone("c")
         fleet.wait_until(lambda: fleet.states("c") == {"returning"})
         fleet.kill("s0", "s1")
-        fleet.wait_until(lambda: not any(fleet.contact([name]) for name in fleet.reached()))
+        fleet.wait_until(lambda: not any(fleet.all_in_contact([name]) for name in fleet.reached()))
         served = len(fleet.records())
         fleet.wait_until(lambda: len(fleet.records()) > served + 50)  # requests do not wait for the store
         fleet.start("s0", wait=False)
@@ -421,7 +421,7 @@
         fleet.stop("s4")
         fleet.wait_until(lambda: any(each["step"] == 3 for each in fleet.history()))
         fleet.go_on("s4")
-        fleet.wait_until(fleet.contact)
+        fleet.wait_until(fleet.all_in_contact)
         fleet.kill(*fleet.schedulers)
         for name in fleet.schedulers:
             fleet.start(name, wait=False)
@@ -466,7 +466,7 @@
             if code == 0 or holds():
                 return
             self.assertRegex(output, "look before|is reached")
-            fleet.wait_until(fleet.contact)
+            fleet.wait_until(fleet.all_in_contact)
         self.fail(output)
 
     def rejection(self, fleet: ProcessFleet, *words: str) -> str:
@@ -521,7 +521,7 @@
         for each in processes:
             each.stderr.close()
         self.assertLessEqual([code for code, _ in results].count(0), 1, results)
-        fleet.wait_until(fleet.contact)
+        fleet.wait_until(fleet.all_in_contact)
         self.assertLess(
             sum(fleet.states(zone) <= LEAVING_OR_LEFT for zone in fleet.zones), 3, "no zone is in use"
         )
@@ -530,7 +530,7 @@
         code, output = self.run_command(fleet, "--json")
         self.assertEqual((code, json.loads(output)["contact"]), (0, True))
         fleet.kill("s0", "s1")
-        fleet.wait_until(lambda: not fleet.contact(["s4"]))
+        fleet.wait_until(lambda: not fleet.all_in_contact(["s4"]))
         self.rejection(fleet, "hold", "c")
         fleet.settle()
 
@@ -625,7 +625,7 @@
         )
         many = {f"z{number}": [[], [1], 0, 0] for number in range(60)}
         renew(payload=[many])
-        fleet.wait_until(fleet.contact)
+        fleet.wait_until(fleet.all_in_contact)
         self.assertEqual(fleet.history(), [])
         fleet.settle()
         self.assertEqual(fleet.wrong()[:5], [])
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -28,7 +28,7 @@
     def start_fleet(self, **options) -> ProcessFleet:
         ground = ProcessFleet(policy=True, **options)
         self.addCleanup(ground.close)
-        ground.wait_until(ground.contact)
+        ground.wait_until(ground.all_in_contact)
         ground.wait_until(
             lambda: len(self.policy_status(ground, "s0")["schedulers"]) == len(ground.schedulers)
         )
@@ -127,7 +127,7 @@
         self.assertEqual(first_results[0][0], 1)
         self.assertIn("given up by operator at s1", first_results[0][1])
         ground.go_on("s3")
-        ground.wait_until(ground.contact)
+        ground.wait_until(ground.all_in_contact)
         self.assertEqual(self.versions(ground), {1})
         self.check_fleet(ground, ("s3",))
 
@@ -145,7 +145,7 @@
         self.assertIn("s3 is not in contact", output)
         self.assertEqual(self.versions(ground), {1})
         ground.set(links)
-        ground.wait_until(ground.contact)
+        ground.wait_until(ground.all_in_contact)
         code, output = self.propose(ground)
         self.assertEqual(code, 0, output)
         ground.wait_until(lambda: self.versions(ground) == {2})
@@ -200,7 +200,7 @@
         ground.go_on("s3")
         ground.start(connected_member)
         ground.wait_until(lambda: bool(results), 45.0)
-        ground.wait_until(lambda: not ground.starting and ground.contact())
+        ground.wait_until(lambda: not ground.starting and ground.all_in_contact())
         ground.wait_until(lambda: len(self.versions(ground)) == 1)
         self.assertEqual(results[0][0] == 0, self.versions(ground) == {2}, results)
         self.check_fleet(ground, ("s3", connected_member))
@@ -244,7 +244,7 @@
             ground.serving(name)
         ground.wait_until(
             lambda: (
-                ground.contact()
+                ground.all_in_contact()
                 and all(self.policy_status(ground, name)["change"] is None for name in ground.reached())
             ),
             45.0,
