--- a/measure/fleet/drawn.py
+++ b/measure/fleet/drawn.py
@@ -163,7 +163,7 @@
 
     def stop(self, *names: str) -> None:
         self.gone.update(names)  # while it is stopped it answers nothing in time
-        self.ground.stop(*[name for name in names if name in self.ground.reached()])
+        self.ground.stop(*[name for name in names if name in self.ground.reachable_schedulers()])
 
     def go_on(self, *names: str) -> None:
         for name in names or (self.kept_stopped,):
@@ -183,7 +183,9 @@
 
     def keeper(self, do: str) -> None:
         """To whoever wrote the last change."""
-        past = max((self.ground.history(name) for name in self.ground.reached()), key=len, default=[])
+        past = max(
+            (self.ground.history(name) for name in self.ground.reachable_schedulers()), key=len, default=[]
+        )
         name = past[-1]["author"] if past else ""
         if name in self.ground.members and name not in self.ground.stopped | self.ground.starting:
             self.kept_stopped = name
@@ -229,7 +231,7 @@
             lambda: all(
                 sum(
                     ground.zones_of(name)["zones"].get(zone, {}).get("seen_good", 0)
-                    for name in ground.reached()
+                    for name in ground.reachable_schedulers()
                 )
                 for zone in ZONES
             )
@@ -269,7 +271,9 @@
                     OPEN_S,
                 )
                 row["open_s"] = time.time() - back
-        history = ground.history(next(name for name in ground.reached() if ground.all_in_contact([name])))
+        history = ground.history(
+            next(name for name in ground.reachable_schedulers() if ground.all_in_contact([name]))
+        )
         may = () if form == "false" else (zone,)
         row["wrong"] += [
             f"{each['zone']} was left: {each['reason']}"
--- a/measure/fleet/ground.py
+++ b/measure/fleet/ground.py
@@ -375,7 +375,7 @@
     def ask(self, name: str, **what: Any) -> dict[str, Any]:
         return client.send_command(f"{self.path}/{name}.sock", **what)
 
-    def reached(self) -> list[str]:
+    def reachable_schedulers(self) -> list[str]:
         return [
             name
             for name in self.schedulers
@@ -389,11 +389,11 @@
         """The zone's state as each of these schedulers has it."""
         return {
             self.zones_of(name)["zones"].get(zone, {}).get("state", "open")
-            for name in (names or self.reached())
+            for name in (names or self.reachable_schedulers())
         }
 
     def all_in_contact(self, names: Iterable[str] | None = None) -> bool:
-        return all(self.zones_of(name)["contact"] for name in (names or self.reached()))
+        return all(self.zones_of(name)["contact"] for name in (names or self.reachable_schedulers()))
 
     def wait_until(self, holds: Callable[[], bool], wait_s: float = PATIENCE_S) -> None:
         """Wait for an event. Raises AssertionError with what all schedulers have, where it does not come."""
@@ -401,7 +401,7 @@
         while not holds():
             if time.monotonic() > end:
                 seen = []
-                for name in self.reached():
+                for name in self.reachable_schedulers():
                     told = self.zones_of(name)
                     zones = ", ".join(
                         f"{zone} {each['state']} {each['step']} +{each['seen_good']}-{each['seen_bad']}"
@@ -416,13 +416,13 @@
             time.sleep(0.1)
 
     def history(self, name: str | None = None) -> list[dict[str, Any]]:
-        return self.ask(name or self.reached()[0], do="zones_history")["history"]
+        return self.ask(name or self.reachable_schedulers()[0], do="zones_history")["history"]
 
     def time_of(self, zone: str, state: str, wait_s: float) -> float | None:
         """When the zone came to this state, in s of the wall clock; None: not within so long."""
         end = time.monotonic() + wait_s
         while time.monotonic() < end:
-            for name in self.reached():
+            for name in self.reachable_schedulers():
                 for each in self.history(name):
                     if each["zone"] == zone and each["state"] == state:
                         return each["wall_ms"] / 1000.0
--- a/measure/fleet/long.py
+++ b/measure/fleet/long.py
@@ -30,7 +30,7 @@
 def events(ground: ProcessFleet, zone: str) -> dict[str, list[tuple[float, str]]]:
     """By scheduler, when it heard of each state of the zone."""
     found: dict[str, list[tuple[float, str]]] = {}
-    for name in ground.reached():
+    for name in ground.reachable_schedulers():
         for line in ground.programs[name].said().splitlines():
             try:
                 told = json.loads(line)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -36,7 +36,8 @@
 
     def good_workers_seen(self, fleet: ProcessFleet, zone: str) -> int:
         return sum(
-            fleet.zones_of(name)["zones"].get(zone, {}).get("seen_good", 0) for name in fleet.reached()
+            fleet.zones_of(name)["zones"].get(zone, {}).get("seen_good", 0)
+            for name in fleet.reachable_schedulers()
         )
 
     def wait_until_left(self, fleet: ProcessFleet, *zones: str) -> None:
@@ -246,7 +247,9 @@
         fleet.parts["wa0"].do({"how": "failing"})
         fleet.set_worker_mode("b", "full")
         fleet.wait_until(
-            lambda: any(fleet.zones_of(name)["zones"]["a"]["seen_bad"] for name in fleet.reached())
+            lambda: any(
+                fleet.zones_of(name)["zones"]["a"]["seen_bad"] for name in fleet.reachable_schedulers()
+            )
         )
         self.assert_nothing_left(fleet)
         fleet.settle()
@@ -311,7 +314,7 @@
             fleet.start(name)
 
         fleet.kill_zone("b")
-        fleet.wait_until(lambda: fleet.states("b", fleet.reached()[:1]) <= LEAVING_OR_LEFT)
+        fleet.wait_until(lambda: fleet.states("b", fleet.reachable_schedulers()[:1]) <= LEAVING_OR_LEFT)
         kill()
         self.wait_until_left(fleet, "b")
         kill()
@@ -326,7 +329,7 @@
     def test_the_leader_is_stopped_while_a_zone_is_left_and_continues(self) -> None:
         fleet = self.start_fleet(seed=32)
         fleet.kill_zone("b")
-        fleet.wait_until(lambda: fleet.states("b", fleet.reached()[:1]) <= LEAVING_OR_LEFT)
+        fleet.wait_until(lambda: fleet.states("b", fleet.reachable_schedulers()[:1]) <= LEAVING_OR_LEFT)
         name = self.last_author(fleet)
         fleet.stop(name)
         self.wait_until_left(fleet, "b")
@@ -402,7 +405,9 @@
         fleet.start_zone("c")
         fleet.wait_until(lambda: fleet.states("c") == {"returning"})
         fleet.kill("s0", "s1")
-        fleet.wait_until(lambda: not any(fleet.all_in_contact([name]) for name in fleet.reached()))
+        fleet.wait_until(
+            lambda: not any(fleet.all_in_contact([name]) for name in fleet.reachable_schedulers())
+        )
         served = len(fleet.records())
         fleet.wait_until(lambda: len(fleet.records()) > served + 50)  # requests do not wait for the store
         fleet.start("s0", wait=False)
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -40,7 +40,9 @@
         return ground.ask(name, do="policy")
 
     def versions(self, ground: ProcessFleet, names: list[str] | None = None) -> set[int]:
-        return {self.policy_status(ground, name)["version"] for name in names or ground.reached()}
+        return {
+            self.policy_status(ground, name)["version"] for name in names or ground.reachable_schedulers()
+        }
 
     def run_command(self, ground: ProcessFleet, *arguments: str, at: str = "s4") -> tuple[int, str]:
         """Runs `spanwing policy` at one scheduler; returns its exit status and output."""
@@ -83,7 +85,7 @@
         ground.settle()
         self.assertEqual(ground.wrong(disturbed)[:5], [])
         outcomes: dict[int, set[tuple[bool, str]]] = {}
-        for name in ground.reached():  # all schedulers know the same outcome of each change
+        for name in ground.reachable_schedulers():  # all schedulers know the same outcome of each change
             for each in ground.ask(name, do="policy_history")["history"]:
                 outcomes.setdefault(each["wall_ms"], set()).add((each["taken"], each["digest"]))
         self.assertTrue(all(len(each) == 1 for each in outcomes.values()), outcomes)
@@ -156,7 +158,7 @@
         ground.stop("s3")
         code, output = self.propose(ground, "--wait", "30")  # succeeds once the permit of s3 has expired
         self.assertEqual(code, 0, output)
-        others = ground.reached()
+        others = ground.reachable_schedulers()
         ground.wait_until(lambda: self.versions(ground, others) == {2})
         record_count = len(ground.records())
         ground.wait_until(lambda: len(ground.records()) > record_count + 50)
@@ -218,16 +220,20 @@
         ground.start("s4")  # starts without the store, within its cached permit
         self.assertEqual(self.policy_status(ground, "s4")["version"], 2)
         ground.wait_until(
-            lambda: all(self.policy_status(ground, name)["may"] == "refuse" for name in ground.reached())
+            lambda: all(
+                self.policy_status(ground, name)["may"] == "refuse" for name in ground.reachable_schedulers()
+            )
         )
         ground.start("s0", wait=False)
         ground.start("s1", wait=False)
         ground.serving("s0")
         ground.serving("s1")
         ground.wait_until(
-            lambda: all(self.policy_status(ground, name)["may"] == "take" for name in ground.reached())
+            lambda: all(
+                self.policy_status(ground, name)["may"] == "take" for name in ground.reachable_schedulers()
+            )
         )
-        statuses = {name: self.policy_status(ground, name) for name in ground.reached()}
+        statuses = {name: self.policy_status(ground, name) for name in ground.reachable_schedulers()}
         self.assertEqual({each["version"] for each in statuses.values()}, {2}, (output, statuses))
         self.check_fleet(ground, tuple(ground.schedulers))
 
@@ -245,7 +251,10 @@
         ground.wait_until(
             lambda: (
                 ground.all_in_contact()
-                and all(self.policy_status(ground, name)["change"] is None for name in ground.reached())
+                and all(
+                    self.policy_status(ground, name)["change"] is None
+                    for name in ground.reachable_schedulers()
+                )
             ),
             45.0,
         )
