--- a/measure/fleet/drawn.py
+++ b/measure/fleet/drawn.py
@@ -281,7 +281,7 @@
             if each["state"] == "leaving" and each["zone"] not in may
         ]
         ground.settle()
-        row["wrong"] += ground.wrong(tuple(played.gone))[:5]
+        row["wrong"] += ground.rule_violations(tuple(played.gone))[:5]
         row["fullest"] = ground.fullest()
     except (AssertionError, OSError, RuntimeError, ValueError) as error:
         row["wrong"].append(f"{type(error).__name__}: {error}"[:1500])
--- a/measure/fleet/ground.py
+++ b/measure/fleet/ground.py
@@ -439,7 +439,7 @@
         self.parts["clients"].do({"on": False, "settle": True})
         self.parts["clients"].process.stdout.readline()
 
-    def wrong(self, gone: Iterable[str] = ()) -> list[str]:
+    def rule_violations(self, gone: Iterable[str] = ()) -> list[str]:
         """Every rule that this day has broken so far; gone: schedulers that were killed."""
         records = self.records()
         return [
--- a/measure/fleet/long.py
+++ b/measure/fleet/long.py
@@ -112,7 +112,7 @@
             )
         row["fates"] = check.fates(records, lost, lost + WINDOW_S)
         row["late"] = late(records, lost, lost + WINDOW_S)
-        row["wrong"] = ground.wrong()
+        row["wrong"] = ground.rule_violations()
         return row
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -59,7 +59,7 @@
         """
         history = fleet.history()
         fleet.settle()
-        self.assertEqual(fleet.wrong(gone)[:5], [])
+        self.assertEqual(fleet.rule_violations(gone)[:5], [])
         self.assertEqual(
             {each["zone"] for each in history if each["state"].split(",")[0] in LEAVING_OR_LEFT}, left
         )
@@ -193,7 +193,7 @@
         fleet.start_zone("a")
         self.wait_until_open(fleet, "a")
         fleet.settle()
-        self.assertEqual(fleet.wrong()[:5], [])
+        self.assertEqual(fleet.rule_violations()[:5], [])
 
     def test_one_that_is_cut_off_leaves_nothing(self) -> None:
         fleet = self.start_fleet(seed=9, solo=True, members=1)
@@ -239,7 +239,7 @@
         fleet.wait_until(lambda: fleet.zones_of("s3")["zones"]["b"]["seen_bad"] > 0)
         self.assert_nothing_left(fleet)
         fleet.settle()
-        self.assertEqual(fleet.wrong()[:5], [])
+        self.assertEqual(fleet.rule_violations()[:5], [])
 
     def test_one_bad_worker_a_full_zone_and_no_discovery(self) -> None:
         fleet = self.start_fleet(seed=13, per_zone=3)
@@ -253,7 +253,7 @@
         )
         self.assert_nothing_left(fleet)
         fleet.settle()
-        self.assertEqual(fleet.wrong()[:5], [])
+        self.assertEqual(fleet.rule_violations()[:5], [])
 
 
 @pytest.mark.xdist_group("fleets-b")
@@ -283,7 +283,7 @@
         self.wait_until_open(fleet, *fleet.zones)
         self.assert_some_zone_open(fleet)
         fleet.settle()
-        self.assertEqual(fleet.wrong()[:5], [])
+        self.assertEqual(fleet.rule_violations()[:5], [])
 
     def test_a_region_is_left_by_one_change(self) -> None:
         fleet = self.start_fleet(seed=22, zones=("a", "b", "c", "d"), regions={"west": ["a", "b", "c"]})
@@ -633,7 +633,7 @@
         fleet.wait_until(fleet.all_in_contact)
         self.assertEqual(fleet.history(), [])
         fleet.settle()
-        self.assertEqual(fleet.wrong()[:5], [])
+        self.assertEqual(fleet.rule_violations()[:5], [])
 
 
 class RuleChecker(unittest.TestCase):
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -83,7 +83,7 @@
 
     def check_fleet(self, ground: ProcessFleet, disturbed: tuple[str, ...] = ()) -> None:
         ground.settle()
-        self.assertEqual(ground.wrong(disturbed)[:5], [])
+        self.assertEqual(ground.rule_violations(disturbed)[:5], [])
         outcomes: dict[int, set[tuple[bool, str]]] = {}
         for name in ground.reachable_schedulers():  # all schedulers know the same outcome of each change
             for each in ground.ask(name, do="policy_history")["history"]:
