--- a/measure/fleet/drawn.py
+++ b/measure/fleet/drawn.py
@@ -71,7 +71,7 @@
                 begin, end = ("cut", (one, draw.choice(WAYS))), ("cut", (one, {}))
                 used.add(one)
             case "stop":
-                begin, end = ("stop", (one,)), ("go_on", (one,))
+                begin, end = ("stop", (one,)), ("resume", (one,))
                 used.add(one)
             case "slow":
                 begin, end = ("cut", (one, {"slow_s": draw.uniform(0.02, 0.15)})), ("cut", (one, {}))
@@ -103,9 +103,9 @@
         at, one = draw.uniform(0.0, 5.0), draw.choice(SCHEDULERS)
         match draw.choice(("stop", "long stop", "restart", "all", "cut", "keeper", "stop keeper")):
             case "stop":
-                steps += [Step(at, "stop", (one,)), Step(at + draw.uniform(0.2, 1.5), "go_on", (one,))]
+                steps += [Step(at, "stop", (one,)), Step(at + draw.uniform(0.2, 1.5), "resume", (one,))]
             case "long stop":  # beyond its lease
-                steps += [Step(at, "stop", (one,)), Step(at + draw.uniform(2.5, 4.0), "go_on", (one,))]
+                steps += [Step(at, "stop", (one,)), Step(at + draw.uniform(2.5, 4.0), "resume", (one,))]
             case "restart":
                 steps += [Step(at, "restart", (one,))]
             case "all":
@@ -118,7 +118,7 @@
             case "keeper":
                 steps += [Step(at, "keeper", ("restart",))]
             case _:
-                steps += [Step(at, "keeper", ("stop",)), Step(at + draw.uniform(1.0, 4.0), "go_on", ())]
+                steps += [Step(at, "keeper", ("stop",)), Step(at + draw.uniform(1.0, 4.0), "resume", ())]
     return sorted(steps, key=lambda each: each.at)
 
 
@@ -165,15 +165,15 @@
         self.gone.update(names)  # while it is stopped it answers nothing in time
         self.ground.stop(*[name for name in names if name in self.ground.reachable_schedulers()])
 
-    def go_on(self, *names: str) -> None:
+    def resume(self, *names: str) -> None:
         for name in names or (self.kept_stopped,):
             if name in self.ground.stopped:
-                self.ground.go_on(name)
+                self.ground.resume(name)
 
     def restart(self, *names: str) -> None:
         names = tuple(name for name in names if name not in self.ground.starting)
         if names:
-            self.go_on(*names)
+            self.resume(*names)
         self.gone.update(names)
         self.ground.kill(*names)
         for name in names:
@@ -211,7 +211,7 @@
             case "killed":
                 ground.start_zone(zone)
             case "silent":
-                ground.go_on(*ground.workers_in_zone(zone))
+                ground.resume(*ground.workers_in_zone(zone))
             case "late":
                 ground.set(ground.links(ground.schedulers, ground.workers_in_zone(zone)))
             case _:
@@ -263,7 +263,7 @@
                 if form == "return":
                     ground.wait_until(lambda: "returning" in ground.states(zone), OPEN_S)
                     played.play(steps)
-                    played.go_on(*list(ground.stopped))
+                    played.resume(*list(ground.stopped))
                 ground.wait_until(
                     lambda: (
                         not ground.starting and ground.all_in_contact() and ground.states(zone) == {"open"}
--- a/measure/fleet/ground.py
+++ b/measure/fleet/ground.py
@@ -308,14 +308,14 @@
             self.process(name).send_signal(signal.SIGSTOP)
             self.stopped.add(name)
 
-    def go_on(self, *names: str) -> None:
+    def resume(self, *names: str) -> None:
         for name in names:
             self.process(name).send_signal(signal.SIGCONT)
             self.stopped.discard(name)
 
     def close(self) -> None:
         for name in list(self.stopped):
-            self.go_on(name)
+            self.resume(name)
         for each in list(self.programs):
             self.programs[each].process.kill()
             self.programs[each].process.wait()
--- a/measure/fleet/long.py
+++ b/measure/fleet/long.py
@@ -78,7 +78,7 @@
             case "killed":
                 ground.start_zone(zone)
             case "silent":
-                ground.go_on(*ground.workers_in_zone(zone))
+                ground.resume(*ground.workers_in_zone(zone))
             case "failing":
                 ground.set_worker_mode(zone, "up")
             case "cut":
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -107,7 +107,7 @@
         fleet = self.start_fleet(seed=4)
         fleet.stop(*fleet.workers_in_zone("a"))
         self.wait_until_left(fleet, "a")
-        fleet.go_on(*fleet.workers_in_zone("a"))
+        fleet.resume(*fleet.workers_in_zone("a"))
         self.wait_until_open(fleet, "a")
         self.assert_only_left(fleet, {"a"})
 
@@ -335,7 +335,7 @@
         self.wait_until_left(fleet, "b")
         fleet.start_zone("b")
         fleet.wait_until(lambda: fleet.states("b") == {"returning"})
-        fleet.go_on(name)
+        fleet.resume(name)
         self.wait_until_open(fleet, "b")
         self.assert_only_left(fleet, {"b"}, (name,))
 
@@ -357,7 +357,7 @@
             fleet.wait_until(
                 lambda name=name: self.last_author(fleet) != name or fleet.states("b") == {"open"}
             )
-            fleet.go_on(name)
+            fleet.resume(name)
             stopped.append(name)
         self.wait_until_open(fleet, "b")
         self.assert_only_left(fleet, {"b"}, tuple(stopped))
@@ -425,7 +425,7 @@
         fleet.wait_until(lambda: fleet.states("a") == {"returning"})
         fleet.stop("s4")
         fleet.wait_until(lambda: any(each["step"] == 3 for each in fleet.history()))
-        fleet.go_on("s4")
+        fleet.resume("s4")
         fleet.wait_until(fleet.all_in_contact)
         fleet.kill(*fleet.schedulers)
         for name in fleet.schedulers:
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -128,7 +128,7 @@
         ground.wait_until(lambda: bool(first_results))
         self.assertEqual(first_results[0][0], 1)
         self.assertIn("given up by operator at s1", first_results[0][1])
-        ground.go_on("s3")
+        ground.resume("s3")
         ground.wait_until(ground.all_in_contact)
         self.assertEqual(self.versions(ground), {1})
         self.check_fleet(ground, ("s3",))
@@ -162,7 +162,7 @@
         ground.wait_until(lambda: self.versions(ground, others) == {2})
         record_count = len(ground.records())
         ground.wait_until(lambda: len(ground.records()) > record_count + 50)
-        ground.go_on("s3")
+        ground.resume("s3")
         ground.wait_until(lambda: self.versions(ground) == {2})
         ground.wait_until(
             lambda: any(
@@ -199,7 +199,7 @@
         ground.wait_until(lambda: self.policy_status(ground, "s4")["change"] is not None)
         connected_member = self.policy_status(ground, "s4")["by"]
         ground.kill(connected_member)
-        ground.go_on("s3")
+        ground.resume("s3")
         ground.start(connected_member)
         ground.wait_until(lambda: bool(results), 45.0)
         ground.wait_until(lambda: not ground.starting and ground.all_in_contact())
