--- a/measure/fleet/ground.py
+++ b/measure/fleet/ground.py
@@ -335,7 +335,7 @@
     def lead(self, targets: dict[str, int]) -> None:
         self.relay.do({"names": [], "targets": targets})
 
-    def links(self, one: Iterable[str], other: Iterable[str]) -> list[str]:
+    def links_between(self, one: Iterable[str], other: Iterable[str]) -> list[str]:
         """All links between any of one side and any of the other."""
         one, other = set(one), set(other)
         found = []
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -140,7 +140,7 @@
 
     def test_a_disconnected_scheduler_prevents_the_change_and_is_named(self) -> None:
         ground = self.start_fleet(seed=73)
-        links = ground.links(["s3"], ground.members)
+        links = ground.links_between(["s3"], ground.members)
         ground.set(links, there=False, back=False)
         code, output = self.propose(ground, "--wait", "2")
         self.assertEqual(code, 1, output)
