--- a/measure/fleet/drawn.py
+++ b/measure/fleet/drawn.py
@@ -139,18 +139,20 @@
             getattr(self, step.do)(*step.what)
 
     def blind(self, one: str, how: dict[str, Any]) -> None:
-        self.ground.set(self.ground.links_between([one], self.ground.workers), **how)
+        self.ground.set_link_state(self.ground.links_between([one], self.ground.workers), **how)
 
     def cut(self, one: str, how: dict[str, Any]) -> None:
         ground = self.ground
-        ground.set(ground.links_between([one], [*ground.workers, *ground.members, "discovery"]), **how)
+        ground.set_link_state(
+            ground.links_between([one], [*ground.workers, *ground.members, "discovery"]), **how
+        )
 
     def store(self, one: str, how: dict[str, Any]) -> None:
-        self.ground.set(self.ground.links_between([one], self.ground.members), **how)
+        self.ground.set_link_state(self.ground.links_between([one], self.ground.members), **how)
 
     def mates(self, names: tuple[str, ...], how: dict[str, Any]) -> None:
         far = [name for name, zone in self.ground.workers.items() if zone != HOME[names[0]]]
-        self.ground.set(self.ground.links_between(names, far), **how)
+        self.ground.set_link_state(self.ground.links_between(names, far), **how)
 
     def worker(self, name: str, how: str) -> None:
         self.ground.parts[name].do({"how": how})
@@ -159,7 +161,7 @@
         self.ground.set_worker_mode(name, how)
 
     def discovery(self, how: dict[str, Any]) -> None:
-        self.ground.set(self.ground.links_between(SCHEDULERS, ["discovery"]), **how)
+        self.ground.set_link_state(self.ground.links_between(SCHEDULERS, ["discovery"]), **how)
 
     def stop(self, *names: str) -> None:
         self.gone.update(names)  # while it is stopped it answers nothing in time
@@ -201,7 +203,9 @@
             case "silent":
                 ground.stop(*ground.workers_in_zone(zone))
             case "late":
-                ground.set(ground.links_between(ground.schedulers, ground.workers_in_zone(zone)), slow_s=2.0)
+                ground.set_link_state(
+                    ground.links_between(ground.schedulers, ground.workers_in_zone(zone)), slow_s=2.0
+                )
             case _:
                 ground.set_worker_mode(zone, "failing")
 
@@ -213,7 +217,7 @@
             case "silent":
                 ground.resume(*ground.workers_in_zone(zone))
             case "late":
-                ground.set(ground.links_between(ground.schedulers, ground.workers_in_zone(zone)))
+                ground.set_link_state(ground.links_between(ground.schedulers, ground.workers_in_zone(zone)))
             case _:
                 ground.set_worker_mode(zone, "up")
 
--- a/measure/fleet/ground.py
+++ b/measure/fleet/ground.py
@@ -345,7 +345,7 @@
                 found.append(name)
         return found
 
-    def set(self, names: Iterable[str], **how: Any) -> None:
+    def set_link_state(self, names: Iterable[str], **how: Any) -> None:
         """there, back: whether bytes pass this way; refused; slow_s; rate; reset."""
         names = list(names)
         self.touched.update(end for name in names for end in name.split(">"))
--- a/measure/fleet/long.py
+++ b/measure/fleet/long.py
@@ -66,7 +66,7 @@
             case "failing":
                 ground.set_worker_mode(zone, "failing")
             case "cut":
-                ground.set(ground.links_between(inside, outside), there=False, back=False)
+                ground.set_link_state(ground.links_between(inside, outside), there=False, back=False)
         watch = [name for name in ground.schedulers if kind != "cut" or name not in inside]
         if way == "oracle":
             ground.ask(watch[-1], do="zones_order", order="leave", zone=zone)
@@ -82,7 +82,7 @@
             case "failing":
                 ground.set_worker_mode(zone, "up")
             case "cut":
-                ground.set(ground.links_between(inside, outside))
+                ground.set_link_state(ground.links_between(inside, outside))
         row: dict[str, Any] = {"way": way, "kind": kind, "seed": seed}
         if way == "oracle":
             time.sleep(4.0)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -95,11 +95,11 @@
         zone = ["s0", "s3", *fleet.workers_in_zone("a")]
         rest = [name for name in (*fleet.schedulers, *fleet.workers) if name not in zone]
         cut = fleet.links_between(zone, rest)
-        fleet.set(cut, there=False, back=False)
+        fleet.set_link_state(cut, there=False, back=False)
         others = ["s1", "s2", "s4"]
         fleet.wait_until(lambda: fleet.states("a", others) <= LEAVING_OR_LEFT)
         fleet.wait_until(lambda: not fleet.all_in_contact(["s0"]) and not fleet.all_in_contact(["s3"]))
-        fleet.set(cut)
+        fleet.set_link_state(cut)
         self.wait_until_open(fleet, "a")
         self.assert_only_left(fleet, {"a"})
 
@@ -114,9 +114,9 @@
     def test_slow_by_two_seconds(self) -> None:
         fleet = self.start_fleet(seed=5)
         links = fleet.links_between(fleet.schedulers, fleet.workers_in_zone("b"))
-        fleet.set(links, slow_s=2.0)
+        fleet.set_link_state(links, slow_s=2.0)
         self.wait_until_left(fleet, "b")
-        fleet.set(links)
+        fleet.set_link_state(links)
         self.wait_until_open(fleet, "b")
         self.assert_only_left(fleet, {"b"})
 
@@ -197,7 +197,7 @@
 
     def test_one_that_is_cut_off_leaves_nothing(self) -> None:
         fleet = self.start_fleet(seed=9, solo=True, members=1)
-        fleet.set(fleet.links_between(["s4"], fleet.workers), refused=True)
+        fleet.set_link_state(fleet.links_between(["s4"], fleet.workers), refused=True)
 
         def has_good_evidence() -> bool:
             return any(each["seen_good"] for each in fleet.zones_of("s4")["zones"].values())
@@ -205,7 +205,7 @@
         fleet.wait_until(lambda: not has_good_evidence())
         time.sleep(3.0)
         self.assertEqual(fleet.history("s4"), [])
-        fleet.set(fleet.links_between(["s4"], fleet.workers))
+        fleet.set_link_state(fleet.links_between(["s4"], fleet.workers))
         fleet.wait_until(has_good_evidence)
         self.assertEqual(fleet.history("s4"), [])
         fleet.settle()
@@ -226,16 +226,16 @@
         fleet = self.start_fleet(seed=11)
         links = fleet.links_between(["s4"], fleet.workers)
         for fault in ({"there": False, "back": False}, {"back": False}, {"refused": True}):
-            fleet.set(links, **fault)
+            fleet.set_link_state(links, **fault)
             self.assert_nothing_left(fleet)
-            fleet.set(links)
+            fleet.set_link_state(links)
             fleet.wait_until(lambda: any(fleet.zones_of("s4")["zones"][zone]["seen_good"] for zone in "abc"))
         fleet.settle()
 
     def test_two_of_one_zone_see_all_others_fail(self) -> None:
         fleet = self.start_fleet(seed=12)
         others = [*fleet.workers_in_zone("b"), *fleet.workers_in_zone("c")]
-        fleet.set(fleet.links_between(["s0", "s3"], others), refused=True)
+        fleet.set_link_state(fleet.links_between(["s0", "s3"], others), refused=True)
         fleet.wait_until(lambda: fleet.zones_of("s3")["zones"]["b"]["seen_bad"] > 0)
         self.assert_nothing_left(fleet)
         fleet.settle()
@@ -243,7 +243,7 @@
 
     def test_one_bad_worker_a_full_zone_and_no_discovery(self) -> None:
         fleet = self.start_fleet(seed=13, per_zone=3)
-        fleet.set(fleet.links_between(fleet.schedulers, ["discovery"]), there=False, back=False)
+        fleet.set_link_state(fleet.links_between(fleet.schedulers, ["discovery"]), there=False, back=False)
         fleet.parts["wa0"].do({"how": "failing"})
         fleet.set_worker_mode("b", "full")
         fleet.wait_until(
@@ -389,11 +389,11 @@
     def test_a_scheduler_is_cut_off_while_a_zone_fails(self) -> None:
         fleet = self.start_fleet(seed=37)
         ends = [*fleet.workers, *fleet.members, "discovery"]
-        fleet.set(fleet.links_between(["s4"], ends), there=False, back=False)
+        fleet.set_link_state(fleet.links_between(["s4"], ends), there=False, back=False)
         fleet.kill_zone("a")
         others = ["s0", "s1", "s2", "s3"]
         fleet.wait_until(lambda: fleet.states("a", others) == {"left"})
-        fleet.set(fleet.links_between(["s4"], ends))
+        fleet.set_link_state(fleet.links_between(["s4"], ends))
         fleet.start_zone("a")
         self.wait_until_open(fleet, "a")
         self.assert_only_left(fleet, {"a"})
