--- a/measure/fleet/drawn.py
+++ b/measure/fleet/drawn.py
@@ -230,7 +230,7 @@
     ground = played.ground
     try:
         ground.wait_until(ground.all_in_contact)
-        ground.load(True)
+        ground.generate_load(True)
         ground.wait_until(
             lambda: all(
                 sum(
--- a/measure/fleet/ground.py
+++ b/measure/fleet/ground.py
@@ -431,7 +431,7 @@
 
     # -- load
 
-    def load(self, on: bool) -> None:
+    def generate_load(self, on: bool) -> None:
         self.parts["clients"].do({"on": on})
 
     def settle(self) -> None:
--- a/measure/fleet/long.py
+++ b/measure/fleet/long.py
@@ -49,7 +49,7 @@
     with ProcessFleet(schedulers, names, per_zone, 3, seed, rate, fleet_zones=way != "alone") as ground:
         if way != "alone":
             ground.wait_until(ground.all_in_contact, 60.0)
-        ground.load(True)
+        ground.generate_load(True)
         time.sleep(6.0)
         zone = "a"
         inside = [
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -29,7 +29,7 @@
         fleet = ProcessFleet(**how)
         self.addCleanup(fleet.close)
         fleet.wait_until(fleet.all_in_contact)
-        fleet.load(True)
+        fleet.generate_load(True)
         # A verdict needs evidence: some scheduler has good evidence on every zone.
         fleet.wait_until(lambda: all(self.good_workers_seen(fleet, zone) for zone in fleet.zones))
         return fleet
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -32,7 +32,7 @@
         ground.wait_until(
             lambda: len(self.policy_status(ground, "s0")["schedulers"]) == len(ground.schedulers)
         )
-        ground.load(True)
+        ground.generate_load(True)
         ground.wait_until(lambda: sum(each["ev"] == "taken" for each in ground.records()) > 20)
         return ground
 
