--- a/measure/fleet/drawn.py
+++ b/measure/fleet/drawn.py
@@ -181,7 +181,7 @@
         for name in names:
             self.ground.start(name, wait=False)
             # It waits for the store's majority, which the script may have taken away.
-            threading.Thread(target=self.ground.serving, args=(name,), daemon=True).start()
+            threading.Thread(target=self.ground.wait_until_serving, args=(name,), daemon=True).start()
 
     def keeper(self, do: str) -> None:
         """To whoever wrote the last change."""
--- a/measure/fleet/ground.py
+++ b/measure/fleet/ground.py
@@ -140,7 +140,7 @@
         for name in self.schedulers:
             self.start(name, wait=False)
         for name in self.schedulers:
-            self.serving(name)
+            self.wait_until_serving(name)
         rates = {name: rate * self.random.choice((0.3, 1.0, 1.0, 2.0)) for name in self.schedulers}
         self.parts["clients"] = Part(
             "clients",
@@ -268,9 +268,9 @@
                     self.lead({f"{one}>{name}": port for one in self.schedulers})
                     break
         if wait:
-            self.serving(name)
+            self.wait_until_serving(name)
 
-    def serving(self, name: str) -> None:
+    def wait_until_serving(self, name: str) -> None:
         """Wait until a scheduler takes clients."""
         program = self.programs[name]
         late = threading.Timer(START_S, program.process.kill)  # it may wait for a majority without end
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -381,7 +381,7 @@
             for name in rest:
                 fleet.start(name, wait=False)
             for name in rest:
-                fleet.serving(name)
+                fleet.wait_until_serving(name)
             fleet.wait_until(fleet.all_in_contact)
         self.wait_until_open(fleet, "c")
         self.assert_only_left(fleet, {"c"}, tuple(fleet.schedulers))
@@ -412,8 +412,8 @@
         fleet.wait_until(lambda: len(fleet.records()) > served + 50)  # requests do not wait for the store
         fleet.start("s0", wait=False)
         fleet.start("s1", wait=False)
-        fleet.serving("s0")
-        fleet.serving("s1")
+        fleet.wait_until_serving("s0")
+        fleet.wait_until_serving("s1")
         self.wait_until_open(fleet, "c")
         self.assert_only_left(fleet, {"c"}, ("s0", "s1"))
 
@@ -431,7 +431,7 @@
         for name in fleet.schedulers:
             fleet.start(name, wait=False)
         for name in fleet.schedulers:
-            fleet.serving(name)
+            fleet.wait_until_serving(name)
         self.wait_until_open(fleet, "a")
         self.assert_only_left(fleet, {"a"}, tuple(fleet.schedulers))
 
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -226,8 +226,8 @@
         )
         ground.start("s0", wait=False)
         ground.start("s1", wait=False)
-        ground.serving("s0")
-        ground.serving("s1")
+        ground.wait_until_serving("s0")
+        ground.wait_until_serving("s1")
         ground.wait_until(
             lambda: all(
                 self.policy_status(ground, name)["may"] == "take" for name in ground.reachable_schedulers()
@@ -247,7 +247,7 @@
         for name in ground.schedulers:
             ground.start(name, wait=False)
         for name in ground.schedulers:
-            ground.serving(name)
+            ground.wait_until_serving(name)
         ground.wait_until(
             lambda: (
                 ground.all_in_contact()
