--- a/measure/fleet/drawn.py
+++ b/measure/fleet/drawn.py
@@ -234,7 +234,7 @@
         ground.wait_until(
             lambda: all(
                 sum(
-                    ground.zones_of(name)["zones"].get(zone, {}).get("seen_good", 0)
+                    ground.zone_status(name)["zones"].get(zone, {}).get("seen_good", 0)
                     for name in ground.reachable_schedulers()
                 )
                 for zone in ZONES
--- a/measure/fleet/ground.py
+++ b/measure/fleet/ground.py
@@ -382,18 +382,18 @@
             if name in self.programs and name not in self.stopped | self.starting
         ]
 
-    def zones_of(self, name: str) -> dict[str, Any]:
+    def zone_status(self, name: str) -> dict[str, Any]:
         return self.ask(name, do="zones")
 
     def states(self, zone: str, names: Iterable[str] | None = None) -> set[str]:
         """The zone's state as each of these schedulers has it."""
         return {
-            self.zones_of(name)["zones"].get(zone, {}).get("state", "open")
+            self.zone_status(name)["zones"].get(zone, {}).get("state", "open")
             for name in (names or self.reachable_schedulers())
         }
 
     def all_in_contact(self, names: Iterable[str] | None = None) -> bool:
-        return all(self.zones_of(name)["contact"] for name in (names or self.reachable_schedulers()))
+        return all(self.zone_status(name)["contact"] for name in (names or self.reachable_schedulers()))
 
     def wait_until(self, holds: Callable[[], bool], wait_s: float = PATIENCE_S) -> None:
         """Wait for an event. Raises AssertionError with what all schedulers have, where it does not come."""
@@ -402,7 +402,7 @@
             if time.monotonic() > end:
                 seen = []
                 for name in self.reachable_schedulers():
-                    told = self.zones_of(name)
+                    told = self.zone_status(name)
                     zones = ", ".join(
                         f"{zone} {each['state']} {each['step']} +{each['seen_good']}-{each['seen_bad']}"
                         for zone, each in told["zones"].items()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -36,7 +36,7 @@
 
     def good_workers_seen(self, fleet: ProcessFleet, zone: str) -> int:
         return sum(
-            fleet.zones_of(name)["zones"].get(zone, {}).get("seen_good", 0)
+            fleet.zone_status(name)["zones"].get(zone, {}).get("seen_good", 0)
             for name in fleet.reachable_schedulers()
         )
 
@@ -149,7 +149,9 @@
         self.wait_until_left(fleet, "a")
         fleet.start_zone("a")
         self.wait_until_open(fleet, "a")
-        self.assertEqual(fleet.zones_of("s0")["zones"]["a"]["failures"], 2)  # the second hold-down was longer
+        self.assertEqual(
+            fleet.zone_status("s0")["zones"]["a"]["failures"], 2
+        )  # the second hold-down was longer
         self.assert_only_left(fleet, {"a"})
 
 
@@ -177,7 +179,7 @@
             )
             fleet.set_worker_mode("b", "up")
         self.wait_until_open(fleet, "b")
-        self.assertGreaterEqual(fleet.zones_of("s0")["zones"]["b"]["failures"], 4)
+        self.assertGreaterEqual(fleet.zone_status("s0")["zones"]["b"]["failures"], 4)
         self.assert_only_left(fleet, {"b"})
 
 
@@ -200,7 +202,7 @@
         fleet.set_link_state(fleet.links_between(["s4"], fleet.workers), refused=True)
 
         def has_good_evidence() -> bool:
-            return any(each["seen_good"] for each in fleet.zones_of("s4")["zones"].values())
+            return any(each["seen_good"] for each in fleet.zone_status("s4")["zones"].values())
 
         fleet.wait_until(lambda: not has_good_evidence())
         time.sleep(3.0)
@@ -229,14 +231,16 @@
             fleet.set_link_state(links, **fault)
             self.assert_nothing_left(fleet)
             fleet.set_link_state(links)
-            fleet.wait_until(lambda: any(fleet.zones_of("s4")["zones"][zone]["seen_good"] for zone in "abc"))
+            fleet.wait_until(
+                lambda: any(fleet.zone_status("s4")["zones"][zone]["seen_good"] for zone in "abc")
+            )
         fleet.settle()
 
     def test_two_of_one_zone_see_all_others_fail(self) -> None:
         fleet = self.start_fleet(seed=12)
         others = [*fleet.workers_in_zone("b"), *fleet.workers_in_zone("c")]
         fleet.set_link_state(fleet.links_between(["s0", "s3"], others), refused=True)
-        fleet.wait_until(lambda: fleet.zones_of("s3")["zones"]["b"]["seen_bad"] > 0)
+        fleet.wait_until(lambda: fleet.zone_status("s3")["zones"]["b"]["seen_bad"] > 0)
         self.assert_nothing_left(fleet)
         fleet.settle()
         self.assertEqual(fleet.rule_violations()[:5], [])
@@ -248,7 +252,7 @@
         fleet.set_worker_mode("b", "full")
         fleet.wait_until(
             lambda: any(
-                fleet.zones_of(name)["zones"]["a"]["seen_bad"] for name in fleet.reachable_schedulers()
+                fleet.zone_status(name)["zones"]["a"]["seen_bad"] for name in fleet.reachable_schedulers()
             )
         )
         self.assert_nothing_left(fleet)
@@ -482,11 +486,11 @@
 
     def test_orders(self) -> None:
         fleet = self.start_fleet(seed=51, regions={"west": ["a", "b"]})
-        before = fleet.zones_of("s4")["revision"]
+        before = fleet.zone_status("s4")["revision"]
         self.assertIn("no zone or region", self.rejection(fleet, "leave", "mars"))
         self.assertIn("not left", self.rejection(fleet, "return", "a"))
         self.assertIn("not held", self.rejection(fleet, "release", "a"))
-        self.assertEqual(fleet.zones_of("s4")["revision"], before)
+        self.assertEqual(fleet.zone_status("s4")["revision"], before)
         self.give_order(fleet, "leave", "a", holds=lambda: fleet.states("a") <= LEAVING_OR_LEFT)
         self.wait_until_left(fleet, "a")
         self.assertIn("already", self.rejection(fleet, "leave", "a"))
@@ -495,7 +499,7 @@
         self.assertEqual(fleet.states("a"), {"left"})
         self.give_order(fleet, "return", "a", holds=lambda: "left" not in fleet.states("a"))
         self.wait_until_open(fleet, "a")
-        is_on_hold = lambda: fleet.zones_of("s4")["zones"]["b"]["held"]  # noqa: E731 - called several times
+        is_on_hold = lambda: fleet.zone_status("s4")["zones"]["b"]["held"]  # noqa: E731 - called several times
         self.give_order(fleet, "hold", "b", holds=is_on_hold)
         fleet.set_worker_mode("b", "failing")
         time.sleep(3.0)
@@ -548,7 +552,7 @@
 
         def is_left() -> bool:
             """Records in mismatches if the scheduler uses other workers than the share that it follows."""
-            reply = fleet.zones_of("s0")
+            reply = fleet.zone_status("s0")
             zone_status = reply["zones"]["c"]
             if (
                 reply["contact"]
@@ -611,7 +615,7 @@
             [{"a": [[], [], 1e400, 0]}],
         ):
             renew(payload=payload)  # the lease is granted, the evidence is ignored
-        rejected = fleet.zones_of("s1")["refused"] + fleet.zones_of("s0")["refused"]
+        rejected = fleet.zone_status("s1")["refused"] + fleet.zone_status("s0")["refused"]
         # Evidence from observers whose position is not configured is ignored: they report a failed zone.
         bad = [short_worker_id(worker_id_of(name)) for name in fleet.workers_in_zone("a")]
         good = [short_worker_id(worker_id_of(name)) for zone in "bc" for name in fleet.workers_in_zone(zone)]
@@ -623,9 +627,9 @@
                 payload=[{"a": [[], bad, 0, 0], "b": [good[:2], [], 0, 0], "c": [good[2:], [], 0, 0]}],
             )
         self.assertGreater(
-            fleet.zones_of("s1")["refused"]
-            + fleet.zones_of("s0")["refused"]
-            + fleet.zones_of("s2")["refused"],
+            fleet.zone_status("s1")["refused"]
+            + fleet.zone_status("s0")["refused"]
+            + fleet.zone_status("s2")["refused"],
             rejected,
         )
         many = {f"z{number}": [[], [1], 0, 0] for number in range(60)}
