--- a/measure/fleet/followers.py
+++ b/measure/fleet/followers.py
@@ -132,7 +132,7 @@
             spent = {name: (cpu_s(ground, name) - was - idle[name]) / LOOK_S for name, was in began.items()}
             renewals = sum(b["renewals"] - a["renewals"] for a, b in zip(before, after, strict=True))
             rate = renewals / LOOK_S
-            ground.ask("s2", do="zones_order", order="leave", zone="c")
+            ground.send_command("s2", do="zones_order", order="leave", zone="c")
             time.sleep(2.0)
             told, history = many.ask(), ground.history()
             first = history[0]
--- a/measure/fleet/ground.py
+++ b/measure/fleet/ground.py
@@ -372,7 +372,7 @@
 
     # -- what is told
 
-    def ask(self, name: str, **what: Any) -> dict[str, Any]:
+    def send_command(self, name: str, **what: Any) -> dict[str, Any]:
         return client.send_command(f"{self.path}/{name}.sock", **what)
 
     def reachable_schedulers(self) -> list[str]:
@@ -383,7 +383,7 @@
         ]
 
     def zone_status(self, name: str) -> dict[str, Any]:
-        return self.ask(name, do="zones")
+        return self.send_command(name, do="zones")
 
     def states(self, zone: str, names: Iterable[str] | None = None) -> set[str]:
         """The zone's state as each of these schedulers has it."""
@@ -416,7 +416,7 @@
             time.sleep(0.1)
 
     def history(self, name: str | None = None) -> list[dict[str, Any]]:
-        return self.ask(name or self.reachable_schedulers()[0], do="zones_history")["history"]
+        return self.send_command(name or self.reachable_schedulers()[0], do="zones_history")["history"]
 
     def time_of(self, zone: str, state: str, wait_s: float) -> float | None:
         """When the zone came to this state, in s of the wall clock; None: not within so long."""
--- a/measure/fleet/long.py
+++ b/measure/fleet/long.py
@@ -69,7 +69,7 @@
                 ground.set_link_state(ground.links_between(inside, outside), there=False, back=False)
         watch = [name for name in ground.schedulers if kind != "cut" or name not in inside]
         if way == "oracle":
-            ground.ask(watch[-1], do="zones_order", order="leave", zone=zone)
+            ground.send_command(watch[-1], do="zones_order", order="leave", zone=zone)
         if way != "alone":
             ground.wait_until(lambda: ground.states(zone, watch) <= {"leaving", "left"}, 30.0)
         time.sleep(max(0.0, lost + WINDOW_S - time.time()))
@@ -86,7 +86,7 @@
         row: dict[str, Any] = {"way": way, "kind": kind, "seed": seed}
         if way == "oracle":
             time.sleep(4.0)
-            ground.ask(watch[-1], do="zones_order", order="return", zone=zone)
+            ground.send_command(watch[-1], do="zones_order", order="return", zone=zone)
         if way == "alone":
             time.sleep(10.0)
         else:
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -37,7 +37,7 @@
         return ground
 
     def policy_status(self, ground: ProcessFleet, name: str) -> dict[str, Any]:
-        return ground.ask(name, do="policy")
+        return ground.send_command(name, do="policy")
 
     def versions(self, ground: ProcessFleet, names: list[str] | None = None) -> set[int]:
         return {
@@ -54,7 +54,7 @@
 
     def write_policy_file(self, ground: ProcessFleet, at: str = "s4", **changes: Any) -> str:
         """Writes the policy in force, with changes of its first class, to a file; returns its path."""
-        text = json.loads(ground.ask(at, do="policy_text")["text"])
+        text = json.loads(ground.send_command(at, do="policy_text")["text"])
         text["classes"][0].update(changes)
         path = ground.path / f"new-{time.monotonic_ns()}.json"
         path.write_text(json.dumps(text))
@@ -86,7 +86,7 @@
         self.assertEqual(ground.rule_violations(disturbed)[:5], [])
         outcomes: dict[int, set[tuple[bool, str]]] = {}
         for name in ground.reachable_schedulers():  # all schedulers know the same outcome of each change
-            for each in ground.ask(name, do="policy_history")["history"]:
+            for each in ground.send_command(name, do="policy_history")["history"]:
                 outcomes.setdefault(each["wall_ms"], set()).add((each["taken"], each["digest"]))
         self.assertTrue(all(len(each) == 1 for each in outcomes.values()), outcomes)
 
