--- a/measure/fleet/check.py
+++ b/measure/fleet/check.py
@@ -15,7 +15,7 @@
 GRACE_MS = 1000.0  # of a machine that is shared by all of these processes
 
 
-class Cold(NamedTuple):
+class WarmUpLimits(NamedTuple):
     """What a cold worker bears."""
 
     cold_from: float
@@ -96,7 +96,7 @@
 
 
 def windows(
-    records: Iterable[Mapping[str, Any]], started: Mapping[str, list[float]], cold: Cold
+    records: Iterable[Mapping[str, Any]], started: Mapping[str, list[float]], cold: WarmUpLimits
 ) -> Iterator[Window]:
     """One at each arrival at a cold worker. started: by worker, when each of its cold lives began, in ms of
     the wall clock."""
@@ -122,7 +122,7 @@
 
 
 def budgets(
-    records: Iterable[Mapping[str, Any]], started: Mapping[str, list[float]], cold: Cold
+    records: Iterable[Mapping[str, Any]], started: Mapping[str, list[float]], cold: WarmUpLimits
 ) -> list[str]:
     return [
         f"{each.worker}: {each.work:.0f} ms of work in a window of {each.budget:.0f}, "
--- a/measure/fleet/ground.py
+++ b/measure/fleet/ground.py
@@ -97,7 +97,7 @@
         self.away_ms = away_ms
         self.balancers, self.solo, self.policy = balancers or schedulers, solo, policy
         run_ms = {cls: each["run_ms"] for cls, each in CLASSES.items()}
-        self.bears = check.Cold(0.3, cold_ms, 3.0, FALL_MS, slots, run_ms)
+        self.bears = check.WarmUpLimits(0.3, cold_ms, 3.0, FALL_MS, slots, run_ms)
         self.regions, self.with_zones, self.command = regions or {}, fleet_zones, command
         if policy and command == ("-m", "spanwing"):
             self.command = "-m", "measure.fleet.watched", "FOLDER"
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -661,7 +661,7 @@
         self.assertEqual(len(check.versions([*records, records[0]])), 1)
 
     def test_a_window_above_its_budget(self) -> None:
-        limits = check.Cold(0.5, 1000.0, 2.0, 100.0, 1, {"x": 60.0})
+        limits = check.WarmUpLimits(0.5, 1000.0, 2.0, 100.0, 1, {"x": 60.0})
         records = [
             {"ev": "got", "worker": "a", "job": str(number), "cls": "x", "t": 1.0 + number / 1000.0}
             for number in range(2)
