--- a/measure/fleet/check.py
+++ b/measure/fleet/check.py
@@ -26,7 +26,7 @@
     run_ms: Mapping[str, float]
 
 
-def answers(records: Iterable[Mapping[str, Any]], gone: frozenset[str] = frozenset()) -> list[str]:
+def invalid_answers(records: Iterable[Mapping[str, Any]], gone: frozenset[str] = frozenset()) -> list[str]:
     """gone: schedulers that were killed, which owe nothing any more."""
     asked, told, wrong = {}, defaultdict(list), []
     for each in records:
@@ -46,7 +46,7 @@
     return wrong
 
 
-def runs(records: Iterable[Mapping[str, Any]]) -> list[str]:
+def repeated_runs(records: Iterable[Mapping[str, Any]]) -> list[str]:
     """schedule-apply never runs twice."""
     seen: dict[str, str] = {}
     wrong = []
@@ -58,7 +58,7 @@
     return wrong
 
 
-def at_once(records: Iterable[Mapping[str, Any]], spared: Collection[str] = ()) -> list[str]:
+def concurrent_assignments(records: Iterable[Mapping[str, Any]], spared: Collection[str] = ()) -> list[str]:
     """No job is at two workers at a time; spared: workers that were killed or stopped, or whose links were
     touched, so that they could not be told. A job whose connection ended before its 202 is given up, as soon
     as the link hears of that end; its worker may come to read it later. A `schedule-apply` is not: it may
@@ -95,7 +95,7 @@
     budget: float
 
 
-def windows(
+def budget_windows(
     records: Iterable[Mapping[str, Any]], started: Mapping[str, list[float]], cold: WarmUpLimits
 ) -> Iterator[Window]:
     """One at each arrival at a cold worker. started: by worker, when each of its cold lives began, in ms of
@@ -121,18 +121,18 @@
         )
 
 
-def budgets(
+def exceeded_budgets(
     records: Iterable[Mapping[str, Any]], started: Mapping[str, list[float]], cold: WarmUpLimits
 ) -> list[str]:
     return [
         f"{each.worker}: {each.work:.0f} ms of work in a window of {each.budget:.0f}, "
         f"{each.after:.0f} ms after its start"
-        for each in windows(records, started, cold)
+        for each in budget_windows(records, started, cold)
         if each.work > each.budget
     ]
 
 
-def versions(records: Iterable[Mapping[str, Any]]) -> list[str]:
+def version_regressions(records: Iterable[Mapping[str, Any]]) -> list[str]:
     """Once any scheduler has taken a job under a version, none takes one under an earlier one."""
     highest, by, wrong = 0, "", []
     for each in records:
@@ -148,7 +148,7 @@
     return wrong
 
 
-def into(
+def arrivals(
     records: Iterable[Mapping[str, Any]],
     workers: Iterable[str],
     begin: float,
@@ -167,7 +167,7 @@
     ]
 
 
-def fates(records: Iterable[Mapping[str, Any]], begin: float, end: float) -> dict[str, int]:
+def count_outcomes(records: Iterable[Mapping[str, Any]], begin: float, end: float) -> dict[str, int]:
     """Answers to jobs that were asked in a time, by class and status."""
     times, found = {}, defaultdict(int)
     for each in records:
--- a/measure/fleet/ground.py
+++ b/measure/fleet/ground.py
@@ -443,17 +443,17 @@
         """Every rule that this day has broken so far; gone: schedulers that were killed."""
         records = self.records()
         return [
-            *check.answers(records, frozenset(gone)),
-            *check.runs(records),
-            *check.at_once(records, self.touched),
-            *check.versions(records),
-            *check.budgets(records, self.cold, self.bears),
+            *check.invalid_answers(records, frozenset(gone)),
+            *check.repeated_runs(records),
+            *check.concurrent_assignments(records, self.touched),
+            *check.version_regressions(records),
+            *check.exceeded_budgets(records, self.cold, self.bears),
         ]
 
     def fullest(self) -> float:
         """The most work that came to a cold worker in a window, of its budget."""
         return max(
-            (each.work / each.budget for each in check.windows(self.records(), self.cold, self.bears)),
+            (each.work / each.budget for each in check.budget_windows(self.records(), self.cold, self.bears)),
             default=0.0,
         )
 
--- a/measure/fleet/long.py
+++ b/measure/fleet/long.py
@@ -107,10 +107,10 @@
             tried = [at for told in heard.values() for at, state in told if state == "returning"]
             until = min([*tried, back])
             row["into"] = sum(
-                len(check.into(records, ground.workers_in_zone(zone), at + 0.05, until, [name]))
+                len(check.arrivals(records, ground.workers_in_zone(zone), at + 0.05, until, [name]))
                 for name, at in first.items()
             )
-        row["fates"] = check.fates(records, lost, lost + WINDOW_S)
+        row["fates"] = check.count_outcomes(records, lost, lost + WINDOW_S)
         row["late"] = late(records, lost, lost + WINDOW_S)
         row["wrong"] = ground.rule_violations()
         return row
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -648,17 +648,19 @@
             {"ev": ev, "job": "j", "worker": worker, "how": "up"}
             for ev, worker in (("got", "a"), ("got", "b"), ("done", "b"))
         ]
-        self.assertEqual(len(check.at_once(records)), 1)
-        self.assertEqual(check.at_once(records, {"a"}), [])
-        self.assertEqual(check.at_once([records[0], {**records[0], "ev": "dropped"}, records[1]]), [])
+        self.assertEqual(len(check.concurrent_assignments(records)), 1)
+        self.assertEqual(check.concurrent_assignments(records, {"a"}), [])
+        self.assertEqual(
+            check.concurrent_assignments([records[0], {**records[0], "ev": "dropped"}, records[1]]), []
+        )
 
     def test_a_request_accepted_under_an_earlier_policy_version(self) -> None:
         records = [
             {"ev": "taken", "job": str(number), "scheduler": "s", "version": version}
             for number, version in enumerate((1, 1, 2, 2))
         ]
-        self.assertEqual(check.versions(records), [])
-        self.assertEqual(len(check.versions([*records, records[0]])), 1)
+        self.assertEqual(check.version_regressions(records), [])
+        self.assertEqual(len(check.version_regressions([*records, records[0]])), 1)
 
     def test_a_window_above_its_budget(self) -> None:
         limits = check.WarmUpLimits(0.5, 1000.0, 2.0, 100.0, 1, {"x": 60.0})
@@ -666,8 +668,8 @@
             {"ev": "got", "worker": "a", "job": str(number), "cls": "x", "t": 1.0 + number / 1000.0}
             for number in range(2)
         ]
-        self.assertEqual(len(check.budgets(records, {"a": [1000.0]}, limits)), 1)
-        self.assertEqual(check.budgets(records[:1], {"a": [1000.0]}, limits), [])
+        self.assertEqual(len(check.exceeded_budgets(records, {"a": [1000.0]}, limits)), 1)
+        self.assertEqual(check.exceeded_budgets(records[:1], {"a": [1000.0]}, limits), [])
 
 
 class SwitchedOff(unittest.TestCase):
