--- a/measure/fleet/parts.py
+++ b/measure/fleet/parts.py
@@ -70,7 +70,7 @@
 # -- relays
 
 
-def take(said: bytearray) -> bytes | None:
+def pop_request(said: bytearray) -> bytes | None:
     """Take out the request that is whole there; its job, empty for one about none. None: none is whole."""
     end = said.find(b"\r\n\r\n")
     head = bytes(said[: max(0, end)])
@@ -144,7 +144,7 @@
             while data := await reader.read(65536):
                 if asks and self.to_worker:
                     said += data
-                    while (job := take(said)) is not None:
+                    while (job := pop_request(said)) is not None:
                         waits[:] = [job] if job else []
                 await due.put((time.monotonic() + self.slow_s, data))
         except ConnectionError:
--- a/tests/test_fleetcheck.py
+++ b/tests/test_fleetcheck.py
@@ -5,7 +5,7 @@
 import unittest
 
 from measure.fleet.check import concurrent_assignments
-from measure.fleet.parts import take
+from measure.fleet.parts import pop_request
 
 
 def at(ev: str, worker: str, how: str = "up", cls: str = "status-read") -> dict[str, str]:
@@ -34,9 +34,9 @@
     def test_a_link_tells_of_whole_requests(self) -> None:
         asked = b"POST /look HTTP/1.1\r\nHost: x\r\nX-Call-Id: j1\r\nContent-Length: 2\r\n\r\nab"
         said = bytearray(asked[:-1])
-        self.assertIsNone(take(said))
+        self.assertIsNone(pop_request(said))
         said += asked[-1:] + b"DELETE /jobs/j1 HTTP/1.1\r\nHost: x\r\n\r\n"
-        self.assertEqual([take(said), take(said), take(said)], [b"j1", b"", None])
+        self.assertEqual([pop_request(said), pop_request(said), pop_request(said)], [b"j1", b"", None])
 
 
 if __name__ == "__main__":
