--- a/measure/policymodel.py
+++ b/measure/policymodel.py
@@ -403,7 +403,7 @@
         return pickle.dumps(parts)
 
 
-def begun(bug: str, new: bool = False) -> World:
+def initial_world(bug: str, new: bool = False) -> World:
     """All three are registered, hold a permit, and a change has been proposed; new: the third was never
     there."""
     world = World(bug)
@@ -441,7 +441,7 @@
 
 def explore(bug: str, depth: int, most: int, new: bool = False) -> tuple[int, int, str]:
     """Breadth first: states seen, the depth that was done whole, and what was wrong."""
-    world = begun(bug, new)
+    world = initial_world(bug, new)
     seen, edge = {world.key()}, [(pickle.dumps(world), ())]
     for level in range(1, depth + 1):
         further = []
@@ -483,7 +483,7 @@
 
 def walk(bug: str, seed: int, depth: int) -> tuple[str, int, int]:
     """One at random: what was wrong, versions that came in force, and changes that did not."""
-    draw, world, path = random.Random(seed), begun(bug, seed % 2 == 1), []
+    draw, world, path = random.Random(seed), initial_world(bug, seed % 2 == 1), []
     try:
         for number in range(depth):
             if number % 10 == 9:
--- a/tests/test_decider_digests.py
+++ b/tests/test_decider_digests.py
@@ -249,7 +249,7 @@
 
 def policy_walk(seed: int) -> list:
     """Coordinator and participant in a random walk: the documents and what each may, after every step."""
-    rng, world, found = Random(f"policy {seed}"), policymodel.begun("", seed % 2 == 1), []
+    rng, world, found = Random(f"policy {seed}"), policymodel.initial_world("", seed % 2 == 1), []
     for number in range(150):
         if number % 15 == 14:
             world.propose(())
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -10,7 +10,7 @@
 from conftest import settings
 
 from measure import policymodel
-from measure.policymodel import World, begun, calm
+from measure.policymodel import World, calm, initial_world
 from spanwing.core.clock import Clock
 from spanwing.core.messages import ClientDisconnected, FinalAnswer, JobRequest, RequestSubmitted
 from spanwing.core.request_manager import RequestManager
@@ -45,14 +45,14 @@
 
 class ChangeTests(unittest.TestCase):
     def test_all_schedulers_accept_requests_under_the_new_version(self) -> None:
-        world = begun("")
+        world = initial_world("")
         run_change(world, (0, 1, 2))
         self.assertEqual(world.can_take(), {"s0": 2, "s1": 2, "s2": 2})
         outcome = read_policy(world.document).history[-1]
         self.assertEqual((outcome.number, outcome.taken), (2, True))
 
     def test_one_objection_ends_the_change_and_names_the_scheduler(self) -> None:
-        world = begun("")
+        world = initial_world("")
         world.schedulers[1].hand.find_objection = lambda text: "class look has open jobs"
         renew(world, (0, 1, 2), 2)
         world.do(("decide", 0))
@@ -63,7 +63,7 @@
         self.assertEqual(set(world.can_take().values()), {1})
 
     def test_a_disconnected_scheduler_blocks_the_change_until_its_permit_expires(self) -> None:
-        world = begun("")
+        world = initial_world("")
         run_change(world, (0, 1))
         self.assertEqual(set(world.can_take().values()), {1})
         self.assertIn(
@@ -78,7 +78,7 @@
         self.assertEqual(world.can_take()["s2"], 2)
 
     def test_a_change_that_times_out_names_the_scheduler_that_blocked_it(self) -> None:
-        world = begun("")
+        world = initial_world("")
         world.do(("decide", 0))
         for _ in range(5):
             world.do(("tick", 0))
@@ -95,7 +95,7 @@
         self.assertIn("s2 has not answered", policy.history[-1].reason)
 
     def test_a_scheduler_cut_off_while_closing_queues_and_then_rejects_requests(self) -> None:
-        world = begun("")
+        world = initial_world("")
         renew(world, (0, 1, 2), 2)
         world.do(("decide", 0))
         renew(world, (0, 1, 2))
@@ -109,7 +109,7 @@
         )
 
     def test_closing_returns_to_asking_after_its_timeout(self) -> None:
-        world = begun("")
+        world = initial_world("")
         renew(world, (0, 1, 2), 2)
         world.do(("decide", 0))
         self.assertEqual(read_policy(world.document).change.state, "closing")
@@ -122,7 +122,7 @@
         )
 
     def test_invalid_proposals_are_rejected(self) -> None:
-        world = begun("")
+        world = initial_world("")
         coordinator, document = world.members[0].chair, world.document
         with self.assertRaisesRegex(ValueError, "version 2 by o is under way"):
             coordinator.propose(document, "x", 1, "p", "", 1000.0, [])
@@ -139,7 +139,7 @@
             coordinator.abort(aborted, "p")
 
     def test_an_unreadable_record_closes_the_policy(self) -> None:
-        world = begun("")
+        world = initial_world("")
         document = world.document.apply(Transaction("x", {CHANGE_KEY: '{"state": "of a newer program"}'}))
         participant = world.schedulers[0].hand
         participant.update_policy(world.now, read_policy(document))
@@ -147,7 +147,7 @@
         self.assertIsNone(world.members[0].chair.decide_next_change(world.now, document, world.members[0]))
 
     def test_names_beyond_the_bounds_are_not_registered(self) -> None:
-        world = begun("")
+        world = initial_world("")
         coordinator, member = world.members[0].chair, world.members[0]
         for session in ("x" * 60 + ".1", ".1"):
             member.sessions[session] = policymodel.Session(world.now, 0)
@@ -239,7 +239,7 @@
     """The model's checks find each planted bug, and report nothing without one."""
 
     def permit_without_registration(self, bug: str) -> None:
-        world = begun(bug, new=True)
+        world = initial_world(bug, new=True)
         world.do(("start", 2))
         renew(world, (2,))
         world.do(("take_over", 1))  # a leader without a session of this scheduler
