--- a/measure/policymodel.py
+++ b/measure/policymodel.py
@@ -408,13 +408,13 @@
     there."""
     world = World(bug)
     world.schedulers[2].up = not new
-    calm(world, 3, start=False)
+    run_without_faults(world, 3, start=False)
     assert len(world.can_take()) == 3 - new
     world.propose()
     return world
 
 
-def calm(world: World, rounds: int, start: bool = True) -> None:
+def run_without_faults(world: World, rounds: int, start: bool = True) -> None:
     """Without faults: everybody renews, hears, and the keeper goes on."""
     for _ in range(rounds):
         place = world.keeps()
@@ -500,8 +500,8 @@
             world.do(step)
         for _ in range(12):
             world.do(("tick", 0))
-            calm(world, 1)
-        calm(world, 4)
+            run_without_faults(world, 1)
+        run_without_faults(world, 4)
         if read_policy(world.document).change is not None:
             raise AssertionError("the change has not ended")
         can = world.can_take()
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -10,7 +10,7 @@
 from conftest import settings
 
 from measure import policymodel
-from measure.policymodel import World, calm, initial_world
+from measure.policymodel import World, initial_world, run_without_faults
 from spanwing.core.clock import Clock
 from spanwing.core.messages import ClientDisconnected, FinalAnswer, JobRequest, RequestSubmitted
 from spanwing.core.request_manager import RequestManager
@@ -59,7 +59,7 @@
         policy = read_policy(world.document)
         self.assertEqual((policy.change, policy.now.number), (None, 1))
         self.assertEqual(policy.history[-1].reason, "s1 no: class look has open jobs")
-        calm(world, 2)
+        run_without_faults(world, 2)
         self.assertEqual(set(world.can_take().values()), {1})
 
     def test_a_disconnected_scheduler_blocks_the_change_until_its_permit_expires(self) -> None:
@@ -74,7 +74,7 @@
             renew(world, (0, 1))
         run_change(world, (0, 1))
         self.assertEqual(world.can_take(), {"s0": 2, "s1": 2})
-        calm(world, 3)
+        run_without_faults(world, 3)
         self.assertEqual(world.can_take()["s2"], 2)
 
     def test_a_change_that_times_out_names_the_scheduler_that_blocked_it(self) -> None:
@@ -247,7 +247,7 @@
 
     def later_incarnation_of_a_removed_scheduler(self, bug: str) -> None:
         world = World(bug)
-        calm(world, 3)
+        run_without_faults(world, 3)
         world.do(("kill", 2))
         world.propose(["s2"])
         world.do(("start", 2))
