--- a/measure/policymodel.py
+++ b/measure/policymodel.py
@@ -177,13 +177,13 @@
             found.append(("go_on" if each.stopped else "stop", place))
         for place in range(len(self.members)):
             found.append(("read", place))
-            if self.keeps() == place:
+            if self.leader_index() == place:
                 found += [("decide", place), ("unheard", place)]
             else:
                 found.append(("take_over", place))
         return found
 
-    def keeps(self) -> int:
+    def leader_index(self) -> int:
         return int(self.document.get_value(KEEPER))
 
     def do(self, step: tuple[str, int]) -> None:
@@ -201,11 +201,11 @@
         each.request = Request(each.hand.session, each.n, each.document.revision, each.hand.vote)
 
     def _come(self, place: int) -> None:
-        self.schedulers[place].request.came = self.keeps()
+        self.schedulers[place].request.came = self.leader_index()
 
     def _stray(self, place: int) -> None:
         """To a member that does not keep, or no more; it may yet come to keep before it reads."""
-        self.schedulers[place].request.came = 1 - self.keeps()
+        self.schedulers[place].request.came = 1 - self.leader_index()
 
     def _lose(self, place: int) -> None:
         self.schedulers[place].answer = None
@@ -214,7 +214,7 @@
         member = self.members[place]
         was = member.document.get_value(KEEPER) == str(place)
         member.document, member.told = self.document, None
-        ours = self.keeps() == place
+        ours = self.leader_index() == place
         if not ours:
             member.sessions = {}
         elif not was:
@@ -417,7 +417,7 @@
 def run_without_faults(world: World, rounds: int, start: bool = True) -> None:
     """Without faults: everybody renews, hears, and the keeper goes on."""
     for _ in range(rounds):
-        place = world.keeps()
+        place = world.leader_index()
         for number, each in enumerate(world.schedulers):
             if not each.up and not start:
                 continue
--- a/tests/test_decider_digests.py
+++ b/tests/test_decider_digests.py
@@ -265,7 +265,7 @@
                 for wait in (0.0, 249.0, 250.0)
             ]
         )
-        keeper = world.members[world.keeps()]
+        keeper = world.members[world.leader_index()]
         found.append(sorted(keeper.chair.blocking_schedulers(world.now, keeper.document, keeper).items()))
     return found
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -29,7 +29,7 @@
         for index in schedulers:
             world.do(("renew", index))
             world.do(("come", index))
-        world.do(("read", world.keeps()))
+        world.do(("read", world.leader_index()))
         for index in schedulers:
             world.do(("hear", index))
 
@@ -37,9 +37,9 @@
 def run_change(world: World, schedulers: tuple[int, ...]) -> None:
     """These schedulers go through a complete change; the others are silent."""
     renew(world, schedulers, 2)
-    world.do(("decide", world.keeps()))  # closes
+    world.do(("decide", world.leader_index()))  # closes
     renew(world, schedulers, 2)
-    world.do(("decide", world.keeps()))  # ends the change
+    world.do(("decide", world.leader_index()))  # ends the change
     renew(world, schedulers)
 
 
