--- a/measure/policymodel.py
+++ b/measure/policymodel.py
@@ -309,7 +309,7 @@
 
     # -- what must hold
 
-    def can_take(self) -> dict[str, int]:
+    def acceptable_versions(self) -> dict[str, int]:
         found = {}
         for each in self.schedulers:
             if each.up and not each.stopped:
@@ -324,7 +324,7 @@
         return found
 
     def _look(self) -> None:
-        can = self.can_take()
+        can = self.acceptable_versions()
         if can and min(can.values()) < self.most:
             raise AssertionError(f"{can}, after a job could be taken under {self.most}")
         self.most = max(self.most, *can.values()) if can else self.most
@@ -409,7 +409,7 @@
     world = World(bug)
     world.schedulers[2].up = not new
     run_without_faults(world, 3, start=False)
-    assert len(world.can_take()) == 3 - new
+    assert len(world.acceptable_versions()) == 3 - new
     world.propose()
     return world
 
@@ -504,7 +504,7 @@
         run_without_faults(world, 4)
         if read_policy(world.document).change is not None:
             raise AssertionError("the change has not ended")
-        can = world.can_take()
+        can = world.acceptable_versions()
         if len(can) < 3 or len(set(can.values())) != 1:
             raise AssertionError(f"not all take jobs under one version: {can}")
     except AssertionError as error:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -47,7 +47,7 @@
     def test_all_schedulers_accept_requests_under_the_new_version(self) -> None:
         world = initial_world("")
         run_change(world, (0, 1, 2))
-        self.assertEqual(world.can_take(), {"s0": 2, "s1": 2, "s2": 2})
+        self.assertEqual(world.acceptable_versions(), {"s0": 2, "s1": 2, "s2": 2})
         outcome = read_policy(world.document).history[-1]
         self.assertEqual((outcome.number, outcome.taken), (2, True))
 
@@ -60,12 +60,12 @@
         self.assertEqual((policy.change, policy.now.number), (None, 1))
         self.assertEqual(policy.history[-1].reason, "s1 no: class look has open jobs")
         run_without_faults(world, 2)
-        self.assertEqual(set(world.can_take().values()), {1})
+        self.assertEqual(set(world.acceptable_versions().values()), {1})
 
     def test_a_disconnected_scheduler_blocks_the_change_until_its_permit_expires(self) -> None:
         world = initial_world("")
         run_change(world, (0, 1))
-        self.assertEqual(set(world.can_take().values()), {1})
+        self.assertEqual(set(world.acceptable_versions().values()), {1})
         self.assertIn(
             "s2", world.members[0].chair.blocking_schedulers(world.now, world.document, world.members[0])
         )
@@ -73,9 +73,9 @@
             world.do(("tick", 0))
             renew(world, (0, 1))
         run_change(world, (0, 1))
-        self.assertEqual(world.can_take(), {"s0": 2, "s1": 2})
+        self.assertEqual(world.acceptable_versions(), {"s0": 2, "s1": 2})
         run_without_faults(world, 3)
-        self.assertEqual(world.can_take()["s2"], 2)
+        self.assertEqual(world.acceptable_versions()["s2"], 2)
 
     def test_a_change_that_times_out_names_the_scheduler_that_blocked_it(self) -> None:
         world = initial_world("")
