--- a/measure/policymodel.py
+++ b/measure/policymodel.py
@@ -186,7 +186,7 @@
     def leader_index(self) -> int:
         return int(self.document.get_value(KEEPER))
 
-    def do(self, step: tuple[str, int]) -> None:
+    def apply_step(self, step: tuple[str, int]) -> None:
         name, place = step
         getattr(self, f"_{name}")(place)
         self._look()
@@ -422,21 +422,21 @@
             if not each.up and not start:
                 continue
             if not each.up:
-                world.do(("start", number))
+                world.apply_step(("start", number))
             if world.schedulers[number].stopped:
-                world.do(("go_on", number))
+                world.apply_step(("go_on", number))
             each = world.schedulers[number]
             if each.answer is not None:
-                world.do(("hear", number))
+                world.apply_step(("hear", number))
             if each.request is None:
-                world.do(("renew", number))
+                world.apply_step(("renew", number))
             if each.request.came != place:
-                world.do(("come", number))
-        world.do(("read", place))
+                world.apply_step(("come", number))
+        world.apply_step(("read", place))
         for number, each in enumerate(world.schedulers):
             if each.answer is not None:
-                world.do(("hear", number))
-        world.do(("decide", place))
+                world.apply_step(("hear", number))
+        world.apply_step(("decide", place))
 
 
 def explore(bug: str, depth: int, most: int, new: bool = False) -> tuple[int, int, str]:
@@ -450,7 +450,7 @@
             for step in base.steps():
                 world = pickle.loads(packed)
                 try:
-                    world.do(step)
+                    world.apply_step(step)
                 except AssertionError as error:
                     return len(seen), level, f"{error}: {[*path, step]}"
                 key = world.key()
@@ -497,9 +497,9 @@
             steps = world.steps()
             step = draw.choices(steps, [WEIGHTS[name] for name, _ in steps])[0]
             path.append(step)
-            world.do(step)
+            world.apply_step(step)
         for _ in range(12):
-            world.do(("tick", 0))
+            world.apply_step(("tick", 0))
             run_without_faults(world, 1)
         run_without_faults(world, 4)
         if read_policy(world.document).change is not None:
--- a/tests/test_decider_digests.py
+++ b/tests/test_decider_digests.py
@@ -255,7 +255,7 @@
             world.propose(())
         steps = world.steps()
         step = rng.choices(steps, [policymodel.WEIGHTS[name] for name, _ in steps])[0]
-        world.do(step)
+        world.apply_step(step)
         entries = world.document.entries
         found.append([*step, world.document.revision, [[key, entries[key].value] for key in sorted(entries)]])
         found.append(
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -27,19 +27,19 @@
     """These schedulers renew and receive the replies, `count` times, without a fault."""
     for _ in range(count):
         for index in schedulers:
-            world.do(("renew", index))
-            world.do(("come", index))
-        world.do(("read", world.leader_index()))
+            world.apply_step(("renew", index))
+            world.apply_step(("come", index))
+        world.apply_step(("read", world.leader_index()))
         for index in schedulers:
-            world.do(("hear", index))
+            world.apply_step(("hear", index))
 
 
 def run_change(world: World, schedulers: tuple[int, ...]) -> None:
     """These schedulers go through a complete change; the others are silent."""
     renew(world, schedulers, 2)
-    world.do(("decide", world.leader_index()))  # closes
+    world.apply_step(("decide", world.leader_index()))  # closes
     renew(world, schedulers, 2)
-    world.do(("decide", world.leader_index()))  # ends the change
+    world.apply_step(("decide", world.leader_index()))  # ends the change
     renew(world, schedulers)
 
 
@@ -55,7 +55,7 @@
         world = initial_world("")
         world.schedulers[1].hand.find_objection = lambda text: "class look has open jobs"
         renew(world, (0, 1, 2), 2)
-        world.do(("decide", 0))
+        world.apply_step(("decide", 0))
         policy = read_policy(world.document)
         self.assertEqual((policy.change, policy.now.number), (None, 1))
         self.assertEqual(policy.history[-1].reason, "s1 no: class look has open jobs")
@@ -70,7 +70,7 @@
             "s2", world.members[0].chair.blocking_schedulers(world.now, world.document, world.members[0])
         )
         for _ in range(3):
-            world.do(("tick", 0))
+            world.apply_step(("tick", 0))
             renew(world, (0, 1))
         run_change(world, (0, 1))
         self.assertEqual(world.acceptable_versions(), {"s0": 2, "s1": 2})
@@ -79,17 +79,17 @@
 
     def test_a_change_that_times_out_names_the_scheduler_that_blocked_it(self) -> None:
         world = initial_world("")
-        world.do(("decide", 0))
+        world.apply_step(("decide", 0))
         for _ in range(5):
-            world.do(("tick", 0))
+            world.apply_step(("tick", 0))
             renew(world, (0, 1))
             world.schedulers[2].lease.renewals_sent.clear()
-            world.do(("renew", 2))
-            world.do(("come", 2))
-            world.do(("read", 0))  # it renews, but never receives the reply
-            world.do(("lose", 2))
-            world.do(("decide", 0))
-        world.do(("decide", 0))
+            world.apply_step(("renew", 2))
+            world.apply_step(("come", 2))
+            world.apply_step(("read", 0))  # it renews, but never receives the reply
+            world.apply_step(("lose", 2))
+            world.apply_step(("decide", 0))
+        world.apply_step(("decide", 0))
         policy = read_policy(world.document)
         self.assertEqual((policy.change, policy.now.number), (None, 1))
         self.assertIn("s2 has not answered", policy.history[-1].reason)
@@ -97,7 +97,7 @@
     def test_a_scheduler_cut_off_while_closing_queues_and_then_rejects_requests(self) -> None:
         world = initial_world("")
         renew(world, (0, 1, 2), 2)
-        world.do(("decide", 0))
+        world.apply_step(("decide", 0))
         renew(world, (0, 1, 2))
         participant, now = world.schedulers[0].hand, world.now
         self.assertEqual(
@@ -111,11 +111,11 @@
     def test_closing_returns_to_asking_after_its_timeout(self) -> None:
         world = initial_world("")
         renew(world, (0, 1, 2), 2)
-        world.do(("decide", 0))
+        world.apply_step(("decide", 0))
         self.assertEqual(read_policy(world.document).change.state, "closing")
-        world.do(("decide", 0))  # sees the closing for the first time
-        world.do(("tick", 0))
-        world.do(("decide", 0))
+        world.apply_step(("decide", 0))  # sees the closing for the first time
+        world.apply_step(("tick", 0))
+        world.apply_step(("decide", 0))
         self.assertEqual(
             (read_policy(world.document).change.state, read_policy(world.document).change.revert_count),
             ("asking", 1),
@@ -240,19 +240,19 @@
 
     def permit_without_registration(self, bug: str) -> None:
         world = initial_world(bug, new=True)
-        world.do(("start", 2))
+        world.apply_step(("start", 2))
         renew(world, (2,))
-        world.do(("take_over", 1))  # a leader without a session of this scheduler
+        world.apply_step(("take_over", 1))  # a leader without a session of this scheduler
         run_change(world, (0, 1))
 
     def later_incarnation_of_a_removed_scheduler(self, bug: str) -> None:
         world = World(bug)
         run_without_faults(world, 3)
-        world.do(("kill", 2))
+        world.apply_step(("kill", 2))
         world.propose(["s2"])
-        world.do(("start", 2))
+        world.apply_step(("start", 2))
         renew(world, (2,))
-        world.do(("decide", 0))
+        world.apply_step(("decide", 0))
         renew(world, (2,))
         run_change(world, (0, 1))
 
