--- a/measure/policymodel.py
+++ b/measure/policymodel.py
@@ -65,7 +65,7 @@
     return ""
 
 
-def by_name(chair: PolicyCoordinator, now: float, policy: PolicyState, keeper: Any) -> dict[str, str]:
+def by_name(coordinator: PolicyCoordinator, now: float, policy: PolicyState, keeper: Any) -> dict[str, str]:
     """A bug: whoever has the name of one that is gone is gone too."""
     gone = (
         {scheduler_name(each) for each in policy.change.removed_sessions}
@@ -75,7 +75,7 @@
     return {
         name: session
         for name, session in policy.register.items()
-        if name not in gone and not chair.has_permit_expired(now, session, keeper)
+        if name not in gone and not coordinator.has_permit_expired(now, session, keeper)
     }
 
 
@@ -103,7 +103,7 @@
 
 @dataclass
 class Member:
-    chair: PolicyCoordinator
+    coordinator: PolicyCoordinator
     leading_since_ms: float = 0.0
     sessions: dict[str, Session] = field(default_factory=dict)
     document: Document = Document()
@@ -113,7 +113,7 @@
 @dataclass
 class Scheduler:
     name: str
-    hand: PolicyParticipant
+    participant: PolicyParticipant
     lease: Lease
     life: int = 0
     document: Document = Document()
@@ -137,7 +137,7 @@
         self.members[0].document = self.document
         if bug == "gone-name":
             for each in self.members:
-                each.chair._possible_permit_holders = partial(by_name, each.chair)
+                each.coordinator._possible_permit_holders = partial(by_name, each.coordinator)
         self.most = 0  # the highest version under which anybody could take a job
         self.schedulers = [self._begin(f"s{number}", 0) for number in range(schedulers)]
         self.proposed = 0
@@ -148,7 +148,7 @@
         if self.bug == "start" and life:  # what its folder has, without a word from the fleet
             before = next(each for each in self.schedulers if each.name == name)
             made.document = before.document
-            made.hand.update_policy(self.now, read_policy(made.document))
+            made.participant.update_policy(self.now, read_policy(made.document))
             lease.expires_at_ms = self.now + AWAY
         return made
 
@@ -198,7 +198,9 @@
         each = self.schedulers[place]
         each.n += 1
         each.lease.record_renewal(each.n, self.now)
-        each.request = Request(each.hand.session, each.n, each.document.revision, each.hand.vote)
+        each.request = Request(
+            each.participant.session, each.n, each.document.revision, each.participant.vote
+        )
 
     def _come(self, place: int) -> None:
         self.schedulers[place].request.came = self.leader_index()
@@ -228,22 +230,23 @@
                 continue
             session = member.sessions.setdefault(request.session, Session())
             session.confirmed_at_ms, session.acknowledged_revision = self.now, request.seen
-            member.chair.record_vote(request.session, request.says)
-            if each.up and each.hand.session == request.session:
+            member.coordinator.record_vote(request.session, request.says)
+            if each.up and each.participant.session == request.session:
                 permit = (
-                    member.chair.may_hold_permit(request.session, self.document) or self.bug == "no-register"
+                    member.coordinator.may_hold_permit(request.session, self.document)
+                    or self.bug == "no-register"
                 )
                 each.answer = Answer(request.n, member.document, permit)
 
     def _txn(self, place: int) -> Transaction | None:
         member = self.members[place]
-        chair = member.chair
+        coordinator = member.coordinator
         if self.bug == "ready-twice":
-            waits = chair.blocking_schedulers(self.now, member.document, member)
+            waits = coordinator.blocking_schedulers(self.now, member.document, member)
             policy = read_policy(member.document)
             if policy.change is not None and policy.register and not waits:
-                return chair._end_change(policy, member.document, True, "")
-        return chair.decide_next_change(self.now, member.document, member)
+                return coordinator._end_change(policy, member.document, True, "")
+        return coordinator.decide_next_change(self.now, member.document, member)
 
     def _decide(self, place: int) -> None:
         """It reads what a majority has, makes its next change, and that takes hold."""
@@ -287,7 +290,7 @@
         answer, each.answer = each.answer, None
         if answer.document.revision > each.document.revision:
             each.document = answer.document
-            each.hand.update_policy(self.now, read_policy(each.document))
+            each.participant.update_policy(self.now, read_policy(each.document))
         if answer.permit:
             each.lease.extend(answer.n, AWAY)
 
@@ -313,14 +316,14 @@
         found = {}
         for each in self.schedulers:
             if each.up and not each.stopped:
-                may = each.hand.decide_admission(self.now)
+                may = each.participant.decide_admission(self.now)
                 if may.action == "take" or (
                     self.bug == "stopped"
                     and each.lease.expires_at_ms > float("-inf")
-                    and not each.hand.policy.is_closed()
-                    and each.hand.policy.now.number
+                    and not each.participant.policy.is_closed()
+                    and each.participant.policy.now.number
                 ):
-                    found[each.name] = may.version or each.hand.policy.now.number
+                    found[each.name] = may.version or each.participant.policy.now.number
         return found
 
     def _look(self) -> None:
@@ -333,7 +336,7 @@
         policy = read_policy(self.document)
         if policy.change is None:
             self.proposed += 1
-            txn = self.members[0].chair.propose(
+            txn = self.members[0].coordinator.propose(
                 self.document, f"v{self.proposed}", policy.now.number, "o", "", 4 * TICK, list(gone)
             )
             self.document = self.document.apply(txn)
@@ -371,7 +374,7 @@
                     each.stopped,
                     copy(each.document),
                     age(each.lease.expires_at_ms),
-                    each.hand.vote.change_id == now_id,
+                    each.participant.vote.change_id == now_id,
                     request
                     and (
                         request.came,
@@ -383,7 +386,7 @@
                 )
             )
         for member in self.members:
-            chair = member.chair
+            coordinator = member.coordinator
             parts.append(
                 (
                     age(member.leading_since_ms),
@@ -392,12 +395,12 @@
                         (id, age(each.confirmed_at_ms), revision - each.acknowledged_revision)
                         for id, each in sorted(member.sessions.items())
                     ),
-                    tuple(sorted((id, says.change_id == now_id) for id, says in chair.votes.items())),
-                    tuple(sorted((id, age(at)) for id, at in chair.permit_confirmed_at_ms.items())),
-                    revision - chair.change_revision_seen[0],
-                    age(chair.change_revision_seen[1]),
-                    chair.change_started[0] == now_id,
-                    age(chair.change_started[1]),
+                    tuple(sorted((id, says.change_id == now_id) for id, says in coordinator.votes.items())),
+                    tuple(sorted((id, age(at)) for id, at in coordinator.permit_confirmed_at_ms.items())),
+                    revision - coordinator.change_revision_seen[0],
+                    age(coordinator.change_revision_seen[1]),
+                    coordinator.change_started[0] == now_id,
+                    age(coordinator.change_started[1]),
                 )
             )
         return pickle.dumps(parts)
--- a/tests/test_decider_digests.py
+++ b/tests/test_decider_digests.py
@@ -260,13 +260,15 @@
         found.append([*step, world.document.revision, [[key, entries[key].value] for key in sorted(entries)]])
         found.append(
             [
-                plain(each.hand.decide_admission(world.now + wait))
+                plain(each.participant.decide_admission(world.now + wait))
                 for each in world.schedulers
                 for wait in (0.0, 249.0, 250.0)
             ]
         )
         keeper = world.members[world.leader_index()]
-        found.append(sorted(keeper.chair.blocking_schedulers(world.now, keeper.document, keeper).items()))
+        found.append(
+            sorted(keeper.coordinator.blocking_schedulers(world.now, keeper.document, keeper).items())
+        )
     return found
 
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -53,7 +53,7 @@
 
     def test_one_objection_ends_the_change_and_names_the_scheduler(self) -> None:
         world = initial_world("")
-        world.schedulers[1].hand.find_objection = lambda text: "class look has open jobs"
+        world.schedulers[1].participant.find_objection = lambda text: "class look has open jobs"
         renew(world, (0, 1, 2), 2)
         world.apply_step(("decide", 0))
         policy = read_policy(world.document)
@@ -67,7 +67,8 @@
         run_change(world, (0, 1))
         self.assertEqual(set(world.acceptable_versions().values()), {1})
         self.assertIn(
-            "s2", world.members[0].chair.blocking_schedulers(world.now, world.document, world.members[0])
+            "s2",
+            world.members[0].coordinator.blocking_schedulers(world.now, world.document, world.members[0]),
         )
         for _ in range(3):
             world.apply_step(("tick", 0))
@@ -99,7 +100,7 @@
         renew(world, (0, 1, 2), 2)
         world.apply_step(("decide", 0))
         renew(world, (0, 1, 2))
-        participant, now = world.schedulers[0].hand, world.now
+        participant, now = world.schedulers[0].participant, world.now
         self.assertEqual(
             [
                 participant.decide_admission(now + wait_ms).action
@@ -123,7 +124,7 @@
 
     def test_invalid_proposals_are_rejected(self) -> None:
         world = initial_world("")
-        coordinator, document = world.members[0].chair, world.document
+        coordinator, document = world.members[0].coordinator, world.document
         with self.assertRaisesRegex(ValueError, "version 2 by o is under way"):
             coordinator.propose(document, "x", 1, "p", "", 1000.0, [])
         aborted = document.apply(coordinator.abort(document, "p"))
@@ -141,14 +142,16 @@
     def test_an_unreadable_record_closes_the_policy(self) -> None:
         world = initial_world("")
         document = world.document.apply(Transaction("x", {CHANGE_KEY: '{"state": "of a newer program"}'}))
-        participant = world.schedulers[0].hand
+        participant = world.schedulers[0].participant
         participant.update_policy(world.now, read_policy(document))
         self.assertEqual(participant.decide_admission(world.now).action, "refuse")
-        self.assertIsNone(world.members[0].chair.decide_next_change(world.now, document, world.members[0]))
+        self.assertIsNone(
+            world.members[0].coordinator.decide_next_change(world.now, document, world.members[0])
+        )
 
     def test_names_beyond_the_bounds_are_not_registered(self) -> None:
         world = initial_world("")
-        coordinator, member = world.members[0].chair, world.members[0]
+        coordinator, member = world.members[0].coordinator, world.members[0]
         for session in ("x" * 60 + ".1", ".1"):
             member.sessions[session] = policymodel.Session(world.now, 0)
             coordinator.record_vote(session, PolicyVote(True))
