--- a/measure/policymodel.py
+++ b/measure/policymodel.py
@@ -466,7 +466,7 @@
     return len(seen), depth, ""
 
 
-WEIGHTS = {
+STEP_WEIGHTS = {
     "tick": 1.0,
     "kill": 0.6,
     "stop": 0.5,
@@ -498,7 +498,7 @@
                 ]
                 world.propose(gone if draw.random() < 0.7 else ())
             steps = world.steps()
-            step = draw.choices(steps, [WEIGHTS[name] for name, _ in steps])[0]
+            step = draw.choices(steps, [STEP_WEIGHTS[name] for name, _ in steps])[0]
             path.append(step)
             world.apply_step(step)
         for _ in range(12):
--- a/tests/test_decider_digests.py
+++ b/tests/test_decider_digests.py
@@ -254,7 +254,7 @@
         if number % 15 == 14:
             world.propose(())
         steps = world.steps()
-        step = rng.choices(steps, [policymodel.WEIGHTS[name] for name, _ in steps])[0]
+        step = rng.choices(steps, [policymodel.STEP_WEIGHTS[name] for name, _ in steps])[0]
         world.apply_step(step)
         entries = world.document.entries
         found.append([*step, world.document.revision, [[key, entries[key].value] for key in sorted(entries)]])
