--- a/measure/policymodel.py
+++ b/measure/policymodel.py
@@ -484,7 +484,7 @@
 }
 
 
-def walk(bug: str, seed: int, depth: int) -> tuple[str, int, int]:
+def random_walk(bug: str, seed: int, depth: int) -> tuple[str, int, int]:
     """One at random: what was wrong, versions that came in force, and changes that did not."""
     draw, world, path = random.Random(seed), initial_world(bug, seed % 2 == 1), []
     try:
@@ -520,7 +520,7 @@
     bug, begin, count, depth = given
     wrong, counts = [], Counter[str]()
     for seed in range(begin, begin + count):
-        found, taken, not_taken = walk(bug, seed, depth)
+        found, taken, not_taken = random_walk(bug, seed, depth)
         counts.update(taken=taken, not_taken=not_taken, walks=1, wrong=bool(found))
         if found:
             wrong.append(f"seed {seed}: {found}")
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -271,10 +271,10 @@
 
     def test_random_walks(self) -> None:
         for seed in range(150):
-            self.assertEqual(policymodel.walk("", seed, 120)[0], "")
+            self.assertEqual(policymodel.random_walk("", seed, 120)[0], "")
         for bug in ("ready-twice", "start", "stopped"):
             with self.subTest(bug):
-                self.assertTrue(any(policymodel.walk(bug, seed, 120)[0] for seed in range(600)))
+                self.assertTrue(any(policymodel.random_walk(bug, seed, 120)[0] for seed in range(600)))
 
     def test_all_interleavings_to_a_depth(self) -> None:
         for new in (False, True):
