--- a/measure/fleet/simulated.py
+++ b/measure/fleet/simulated.py
@@ -538,7 +538,7 @@
         return wrong
 
 
-def play(seed: int, bugs: tuple[str, ...] = (), faults: int = 12, aim: str = "") -> dict[str, Any]:
+def run_world(seed: int, bugs: tuple[str, ...] = (), faults: int = 12, aim: str = "") -> dict[str, Any]:
     """One world with a zone lost, and what is wrong with it; aim: "return"."""
     if aim:
         draw = random.Random(f"{aim} {seed}")
@@ -572,7 +572,7 @@
 
 
 def _play(given: tuple[int, tuple[str, ...], int, str]) -> dict[str, Any]:
-    return play(*given)
+    return run_world(*given)
 
 
 @click.command()
--- a/tests/test_decider_digests.py
+++ b/tests/test_decider_digests.py
@@ -57,7 +57,7 @@
 
 def zone_fleet(seed: int, aim: str) -> list:
     """Keepers, schedulers and job workers in simulated time, a zone lost and faults drawn."""
-    row = simulated.play(seed, aim=aim)
+    row = simulated.run_world(seed, aim=aim)
     return [
         row["how"],
         row["missed"],
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -434,17 +434,17 @@
     def test_no_rule_is_violated(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                row = simulated.play(seed)
+                row = simulated.run_world(seed)
                 self.assertEqual((row["wrong"], row["last"]), ([], "open"))
 
     def test_the_same_seed_gives_the_same_run(self) -> None:
-        self.assertEqual(simulated.play(3), simulated.play(3))
+        self.assertEqual(simulated.run_world(3), simulated.run_world(3))
 
     def test_planted_bugs_are_found_in_returns(self) -> None:
         for bug, seed in (("no-lease", 17), ("no-wait", 22), ("no-acknowledge", 16)):
             with self.subTest(bug):
-                self.assertEqual(simulated.play(seed, aim="return")["wrong"], [])
-                self.assertNotEqual(simulated.play(seed, (bug,), aim="return")["wrong"], [])
+                self.assertEqual(simulated.run_world(seed, aim="return")["wrong"], [])
+                self.assertNotEqual(simulated.run_world(seed, (bug,), aim="return")["wrong"], [])
 
     def test_the_simulation_leaves_and_returns_within_its_budgets(self) -> None:
         row = play("fleet-zone", 4, "together")
