--- a/measure/zoneday.py
+++ b/measure/zoneday.py
@@ -123,7 +123,7 @@
 WAYS = {"none": Watched, "together": Together, "solo": Solo}
 
 
-def play(scenario: str, seed: int, way: str = "none", times: int = 1) -> dict[str, Any]:
+def run_day(scenario: str, seed: int, way: str = "none", times: int = 1) -> dict[str, Any]:
     """One day; times: so many times the schedulers, the workers and the jobs."""
     text = (resources.files("spanwing.simulation") / "scenarios" / f"{scenario}.toml").read_bytes()
     day = msgspec.structs.replace(parse_scenario(text, ErrorCollector()), times=times)
@@ -214,7 +214,7 @@
 def main(scenario: str, seeds: int, way: str, times: int, into: str | None) -> None:
     with ProcessPoolExecutor() as pool:
         many = [scenario] * seeds, range(1, seeds + 1), [way] * seeds, [times] * seeds
-        rows = list(pool.map(play, *many))
+        rows = list(pool.map(run_day, *many))
     if into:
         with open(into, "w") as file:
             json.dump(rows, file)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from measure.fleet import simulated
-from measure.zoneday import play
+from measure.zoneday import run_day
 from spanwing import interface as api
 from spanwing.scheduler import Scheduler
 from spanwing.store.document import Document, Transaction
@@ -447,7 +447,7 @@
                 self.assertNotEqual(simulated.run_world(seed, (bug,), aim="return")["wrong"], [])
 
     def test_the_simulation_leaves_and_returns_within_its_budgets(self) -> None:
-        row = play("fleet-zone", 4, "together")
+        row = run_day("fleet-zone", 4, "together")
         self.assertLess(row["decided_ms"], 4000.0)
         self.assertIsNotNone(row["open_ms"])
         self.assertEqual((row["falls"], row["false_alarms"]), (0, 0))
