--- a/measure/fleet/check.py
+++ b/measure/fleet/check.py
@@ -1,9 +1,15 @@
-"""What must hold of a fleet's day, from what clients and job workers wrote down; nothing is asked of the
-schedulers.
+"""Checks of a fleet run, computed from what clients and job workers recorded.
 
-Guarantees: pure; each broken rule is one line. Rules: every job has one answer, by its deadline and GRACE_MS;
-a `schedule-apply` runs once at most; no job is at two workers at a time, unless the first one was killed or
-its worker could not be told; a cold worker gets no more work in any window than its budget.
+The schedulers are asked nothing. All functions are pure; most return one line for each violation of a rule:
+
+- Every job gets exactly one answer, by its deadline and ANSWER_GRACE_MS.
+- A `schedule-apply` runs at most once.
+- No job is at two workers at a time, unless the first worker was killed or could not be told to drop it.
+- No worker gets more work in any window of its slow start than its budget.
+- No job is accepted under an earlier policy version than one before it.
+
+A record is a JSON object of parts.py or watched.py; its `ev` says what happened, and `t` when, in s of the
+wall clock. The name of a job begins with its scheduler's and a dash.
 """
 
 from __future__ import annotations
@@ -12,140 +18,170 @@
 from collections.abc import Collection, Iterable, Iterator, Mapping
 from typing import Any, NamedTuple
 
-GRACE_MS = 1000.0  # of a machine that is shared by all of these processes
+ANSWER_GRACE_MS = 1000.0  # all processes of the fleet share one machine
 
 
 class WarmUpLimits(NamedTuple):
-    """What a cold worker bears."""
+    """The settings and the worker properties from which the budget of a worker in slow start follows."""
 
-    cold_from: float
-    cold_ms: float
-    fall_multiple: float
-    fall_ms: float
+    slow_start_initial_fraction: float
+    slow_start_ms: float
+    overload_multiple: float
+    overload_window_ms: float
     slots: int
-    run_ms: Mapping[str, float]
-
-
-def invalid_answers(records: Iterable[Mapping[str, Any]], gone: frozenset[str] = frozenset()) -> list[str]:
-    """gone: schedulers that were killed, which owe nothing any more."""
-    asked, told, wrong = {}, defaultdict(list), []
-    for each in records:
-        if each["ev"] == "asked":
-            asked[each["job"]] = each
-        elif each["ev"] == "answer":
-            told[each["job"]].append(each)
-    for job, each in asked.items():
-        if job.split("-")[0] in gone:
+    run_ms: Mapping[str, float]  # mean run time by service class
+
+
+def invalid_answers(
+    records: Iterable[Mapping[str, Any]], disturbed: frozenset[str] = frozenset()
+) -> list[str]:
+    """Returns a line for each job that has no answer, several answers or a late one.
+
+    disturbed: schedulers that were killed or stopped; their jobs are not checked.
+    """
+    requests, answers, violations = {}, defaultdict(list), []
+    for record in records:
+        if record["ev"] == "asked":
+            requests[record["job"]] = record
+        elif record["ev"] == "answer":
+            answers[record["job"]].append(record)
+    for job, request in requests.items():
+        if job.split("-")[0] in disturbed:
             continue
-        found = told.get(job, [])
+        found = answers.get(job, [])
         if len(found) != 1 or found[0]["status"] == 0:
-            wrong.append(f"{job} ({each['cls']}): {len(found)} answers, {[one['status'] for one in found]}")
-        elif found[0]["took"] > each["budget"] + GRACE_MS:
-            took = found[0]["took"]
-            wrong.append(f"{job} ({each['cls']}): answered after {took:.0f} ms of {each['budget']:.0f}")
-    return wrong
+            violations.append(
+                f"{job} ({request['cls']}): {len(found)} answers, {[answer['status'] for answer in found]}"
+            )
+        elif found[0]["took"] > request["budget"] + ANSWER_GRACE_MS:
+            took_ms = found[0]["took"]
+            violations.append(
+                f"{job} ({request['cls']}): answered after {took_ms:.0f} ms of {request['budget']:.0f}"
+            )
+    return violations
 
 
 def repeated_runs(records: Iterable[Mapping[str, Any]]) -> list[str]:
-    """schedule-apply never runs twice."""
-    seen: dict[str, str] = {}
-    wrong = []
-    for each in records:
-        if each["ev"] == "run" and each["cls"] == "schedule-apply":
-            if each["job"] in seen:
-                wrong.append(f"{each['job']} ran at {seen[each['job']]} and at {each['worker']}")
-            seen[each["job"]] = each["worker"]
-    return wrong
-
-
-def concurrent_assignments(records: Iterable[Mapping[str, Any]], spared: Collection[str] = ()) -> list[str]:
-    """No job is at two workers at a time; spared: workers that were killed or stopped, or whose links were
-    touched, so that they could not be told. A job whose connection ended before its 202 is given up, as soon
-    as the link hears of that end; its worker may come to read it later. A `schedule-apply` is not: it may
-    have run, and goes nowhere else."""
-    records = list(records)
-    once = {each["job"] for each in records if each["ev"] == "got" and each.get("cls") == "schedule-apply"}
-    out: dict[str, set[str]] = defaultdict(set)
-    unread: Counter[tuple[str, str]] = Counter()
-    wrong = []
-    for each in records:
-        if each["ev"] in ("done", "dropped"):
-            out[each["job"]].discard(each["worker"])
-        elif each["ev"] == "ended" and each["job"] not in once:
-            if each["worker"] in out[each["job"]]:
-                out[each["job"]].discard(each["worker"])
-            else:
-                unread[each["job"], each["worker"]] += 1
-        elif each["ev"] == "got" and unread[each["job"], each["worker"]]:
-            unread[each["job"], each["worker"]] -= 1
-        elif each["ev"] == "got" and each["how"] == "up":
-            others = out[each["job"]] - {each["worker"]}
-            if others.difference(spared):
-                wrong.append(f"{each['job']} came to {each['worker']} while it was at {sorted(others)}")
-            out[each["job"]].add(each["worker"])
-    return wrong
+    """Returns a line for each further run of a `schedule-apply` job."""
+    worker_by_job: dict[str, str] = {}
+    violations = []
+    for record in records:
+        if record["ev"] == "run" and record["cls"] == "schedule-apply":
+            if record["job"] in worker_by_job:
+                violations.append(
+                    f"{record['job']} ran at {worker_by_job[record['job']]} and at {record['worker']}"
+                )
+            worker_by_job[record["job"]] = record["worker"]
+    return violations
+
+
+def concurrent_assignments(
+    records: Iterable[Mapping[str, Any]], disturbed: Collection[str] = ()
+) -> list[str]:
+    """Returns a line for each job that came to a worker while another one still had it.
 
+    disturbed: workers that were killed or stopped, or whose links had a fault; they may not have received a
+    cancellation, so a job that they have does not count.
 
-class Window(NamedTuple):
-    """What came to a cold worker within fall_ms, and what it bears."""
+    If a connection ends before the 202 of its job, the scheduler treats the job as not accepted, and so does
+    this check from the end of the connection at the relay on. The worker may still read the job later; that
+    arrival does not count. A `schedule-apply` may have run all the same and is not sent elsewhere, so for it
+    the end of a connection changes nothing.
+    """
+    records = list(records)
+    run_once_jobs = {
+        record["job"] for record in records if record["ev"] == "got" and record.get("cls") == "schedule-apply"
+    }
+    workers_by_job: dict[str, set[str]] = defaultdict(set)
+    unread: Counter[tuple[str, str]] = Counter()  # jobs by worker whose connection ended before their arrival
+    violations = []
+    for record in records:
+        if record["ev"] in ("done", "dropped"):
+            workers_by_job[record["job"]].discard(record["worker"])
+        elif record["ev"] == "ended" and record["job"] not in run_once_jobs:
+            if record["worker"] in workers_by_job[record["job"]]:
+                workers_by_job[record["job"]].discard(record["worker"])
+            else:
+                unread[record["job"], record["worker"]] += 1
+        elif record["ev"] == "got" and unread[record["job"], record["worker"]]:
+            unread[record["job"], record["worker"]] -= 1
+        elif record["ev"] == "got" and record["how"] == "up":
+            others = workers_by_job[record["job"]] - {record["worker"]}
+            if others.difference(disturbed):
+                violations.append(
+                    f"{record['job']} came to {record['worker']} while it was at {sorted(others)}"
+                )
+            workers_by_job[record["job"]].add(record["worker"])
+    return violations
+
+
+class BudgetWindow(NamedTuple):
+    """The work that came to a worker in slow start within one overload window, and its budget then."""
 
     worker: str
-    after: float  # ms since its start
-    work: float
-    budget: float
+    since_start_ms: float
+    work_ms: float
+    budget_ms: float
 
 
 def budget_windows(
-    records: Iterable[Mapping[str, Any]], started: Mapping[str, list[float]], cold: WarmUpLimits
-) -> Iterator[Window]:
-    """One at each arrival at a cold worker. started: by worker, when each of its cold lives began, in ms of
-    the wall clock."""
-    came: dict[str, deque[tuple[float, float]]] = defaultdict(deque)
-    for each in records:
-        if each["ev"] != "got":
+    records: Iterable[Mapping[str, Any]], starts_ms: Mapping[str, list[float]], limits: WarmUpLimits
+) -> Iterator[BudgetWindow]:
+    """Yields the window that ends with each arrival of a job at a worker in slow start.
+
+    starts_ms: by worker, when each of its slow starts began, in ms of the wall clock. The budget is that of
+    the worker's capacity at the arrival.
+    """
+    arrivals_by_worker: dict[str, deque[tuple[float, float]]] = defaultdict(deque)  # arrival ms, work in ms
+    for record in records:
+        if record["ev"] != "got":
             continue
-        at, worker = each["t"] * 1000.0, each["worker"]
-        life = max((begun for begun in started.get(worker, ()) if begun <= at), default=None)
-        if life is None or at - life >= cold.cold_ms:
+        now_ms, worker = record["t"] * 1000.0, record["worker"]
+        start_ms = max((start for start in starts_ms.get(worker, ()) if start <= now_ms), default=None)
+        if start_ms is None or now_ms - start_ms >= limits.slow_start_ms:
             continue
-        window = came[worker]
-        window.append((at, cold.run_ms[each["cls"]]))
-        while window[0][0] <= at - cold.fall_ms or window[0][0] < life:
+        window = arrivals_by_worker[worker]
+        window.append((now_ms, limits.run_ms[record["cls"]]))
+        while window[0][0] <= now_ms - limits.overload_window_ms or window[0][0] < start_ms:
             window.popleft()
-        share = cold.cold_from + (1.0 - cold.cold_from) * (at - life) / cold.cold_ms
-        yield Window(
+        capacity_fraction = (
+            limits.slow_start_initial_fraction
+            + (1.0 - limits.slow_start_initial_fraction) * (now_ms - start_ms) / limits.slow_start_ms
+        )
+        yield BudgetWindow(
             worker,
-            at - life,
-            sum(one for _, one in window),
-            cold.fall_multiple * share * cold.slots * cold.fall_ms,
+            now_ms - start_ms,
+            sum(work_ms for _, work_ms in window),
+            limits.overload_multiple * capacity_fraction * limits.slots * limits.overload_window_ms,
         )
 
 
 def exceeded_budgets(
-    records: Iterable[Mapping[str, Any]], started: Mapping[str, list[float]], cold: WarmUpLimits
+    records: Iterable[Mapping[str, Any]], starts_ms: Mapping[str, list[float]], limits: WarmUpLimits
 ) -> list[str]:
+    """Returns a line for each window in which a worker in slow start got more work than its budget."""
     return [
-        f"{each.worker}: {each.work:.0f} ms of work in a window of {each.budget:.0f}, "
-        f"{each.after:.0f} ms after its start"
-        for each in budget_windows(records, started, cold)
-        if each.work > each.budget
+        f"{window.worker}: {window.work_ms:.0f} ms of work in a window of {window.budget_ms:.0f}, "
+        f"{window.since_start_ms:.0f} ms after its start"
+        for window in budget_windows(records, starts_ms, limits)
+        if window.work_ms > window.budget_ms
     ]
 
 
 def version_regressions(records: Iterable[Mapping[str, Any]]) -> list[str]:
-    """Once any scheduler has taken a job under a version, none takes one under an earlier one."""
-    highest, by, wrong = 0, "", []
-    for each in records:
-        if each["ev"] != "taken":
+    """Returns a line for each job that was accepted under an earlier policy version than one before it."""
+    highest_version, scheduler, violations = 0, "", []
+    for record in records:
+        if record["ev"] != "taken":
             continue
-        if each["version"] < highest:
-            wrong.append(
-                f"{each['job']} was taken under version {each['version']} by {each['scheduler']}, "
-                f"after one under {highest} by {by}"
+        if record["version"] < highest_version:
+            violations.append(
+                f"{record['job']} was taken under version {record['version']} by {record['scheduler']}, "
+                f"after one under {highest_version} by {scheduler}"
             )
-        elif each["version"] > highest:
-            highest, by = each["version"], each["scheduler"]
-    return wrong
+        elif record["version"] > highest_version:
+            highest_version, scheduler = record["version"], record["scheduler"]
+    return violations
 
 
 def arrivals(
@@ -155,24 +191,27 @@
     end: float,
     schedulers: Iterable[str] | None = None,
 ) -> list[str]:
-    """Jobs that came to these workers from begin to end, in s of the wall clock, by these schedulers."""
-    names, by = set(workers), None if schedulers is None else set(schedulers)
+    """Returns a line for each job that came to these workers from begin to end, in s of the wall clock.
+
+    schedulers: counts only the jobs of these; None: of all.
+    """
+    names, senders = set(workers), None if schedulers is None else set(schedulers)
     return [
-        f"{each['job']} at {each['worker']}, {each['t'] - begin:.3f} s after"
-        for each in records
-        if each["ev"] == "got"
-        and each["worker"] in names
-        and begin <= each["t"] < end
-        and (by is None or each["job"].split("-")[0] in by)
+        f"{record['job']} at {record['worker']}, {record['t'] - begin:.3f} s after"
+        for record in records
+        if record["ev"] == "got"
+        and record["worker"] in names
+        and begin <= record["t"] < end
+        and (senders is None or record["job"].split("-")[0] in senders)
     ]
 
 
 def count_outcomes(records: Iterable[Mapping[str, Any]], begin: float, end: float) -> dict[str, int]:
-    """Answers to jobs that were asked in a time, by class and status."""
-    times, found = {}, defaultdict(int)
-    for each in records:
-        if each["ev"] == "asked":
-            times[each["job"]] = each["t"]
-        elif each["ev"] == "answer" and begin <= times.get(each["job"], 0.0) < end:
-            found[f"{each['cls']} {each['status']}"] += 1
-    return dict(found)
+    """Returns the number of answers by class and status, of the jobs sent from begin to end, in s."""
+    sent_at, counts = {}, defaultdict(int)
+    for record in records:
+        if record["ev"] == "asked":
+            sent_at[record["job"]] = record["t"]
+        elif record["ev"] == "answer" and begin <= sent_at.get(record["job"], 0.0) < end:
+            counts[f"{record['cls']} {record['status']}"] += 1
+    return dict(counts)
--- a/measure/fleet/parts.py
+++ b/measure/fleet/parts.py
@@ -2,10 +2,13 @@
 
     python -m measure.fleet.parts relay|worker|discovery|clients
 
-Each reads one JSON object on standard input first, prints one with its ports, then does what further lines
-say. What happens is written to the file that `log` names, a JSON object a line, with this machine's wall
-clock in `t`, so that the checker can put all of it in one order. They serve loopback alone, and end with
-their standard input."""
+Each process reads one JSON object, its configuration, from the first line of standard input and prints one
+JSON object with its ports. Every further line of input is an order, a JSON object as well. A process ends
+with its standard input. All processes listen on the loopback address only.
+
+Events are appended to the file that `log` names, one JSON object a line. The field `t` is the time of the wall
+clock in s, so that check.py can merge the files of all processes in order of time.
+"""
 
 from __future__ import annotations
 
@@ -23,34 +26,42 @@
 
 
 class Log:
-    """One file of what happened."""
+    """A file of events, one JSON object a line."""
 
     def __init__(self, path: str) -> None:
         self.file = open(path, "a", buffering=1)  # noqa: SIM115 - held for the life of the process
 
-    def put(self, **what: Any) -> None:
-        self.file.write(json.dumps({"t": time.time(), **what}) + "\n")
+    def write(self, **fields: Any) -> None:
+        """Appends one event, with the time of the wall clock in s as `t`."""
+        self.file.write(json.dumps({"t": time.time(), **fields}) + "\n")
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes] | None:
-    """One HTTP message; None where the connection has ended."""
+    """Returns the start line, headers and body of one HTTP message.
+
+    Header names are in lower case. Returns None if the connection ends first or the message is malformed.
+    """
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
-        parted = (line.partition(":") for line in head[1:])
-        fields = {name.lower(): value.strip() for name, _, value in parted}
-        return head[0], fields, await reader.readexactly(int(fields.get("content-length", 0)))
+        header_parts = (line.partition(":") for line in head[1:])
+        headers = {name.lower(): value.strip() for name, _, value in header_parts}
+        return head[0], headers, await reader.readexactly(int(headers.get("content-length", 0)))
     except (asyncio.IncompleteReadError, ConnectionError, ValueError, asyncio.LimitOverrunError):
         return None
 
 
-def reply(status: int, body: bytes = b"") -> bytes:
+def response(status: int, body: bytes = b"") -> bytes:
+    """Returns an HTTP response as bytes."""
     return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s" % (status, len(body), body)
 
 
-async def ask(
+async def send_request(
     port: int, method: str, target: str, body: bytes = b"", **headers: str
 ) -> tuple[int, bytes] | None:
-    """One request on a connection of its own; None where no answer came."""
+    """Sends one HTTP request on its own connection; underscores in header names become dashes.
+
+    Returns the status and body of the response, or None if no valid response came.
+    """
     try:
         reader, writer = await asyncio.open_connection(HOST, port)
     except OSError:
@@ -70,49 +81,58 @@
 # -- relays
 
 
-def pop_request(said: bytearray) -> bytes | None:
-    """Take out the request that is whole there; its job, empty for one about none. None: none is whole."""
-    end = said.find(b"\r\n\r\n")
-    head = bytes(said[: max(0, end)])
-    length = re.search(rb"(?i)\r\ncontent-length: (\d+)", head)
-    whole = end + 4 + (int(length[1]) if length else 0)
-    if end < 0 or len(said) < whole:
+def pop_request(buffer: bytearray) -> bytes | None:
+    """Removes the first complete HTTP request from a buffer and returns the id of its job.
+
+    The id is empty if the request is no POST with an X-Call-Id. Returns None, and leaves the buffer as it is,
+    if no request is complete.
+    """
+    head_end = buffer.find(b"\r\n\r\n")
+    head = bytes(buffer[: max(0, head_end)])
+    content_length = re.search(rb"(?i)\r\ncontent-length: (\d+)", head)
+    request_end = head_end + 4 + (int(content_length[1]) if content_length else 0)
+    if head_end < 0 or len(buffer) < request_end:
         return None
-    del said[:whole]
-    named = re.search(rb"\r\nX-Call-Id: (\S+)", head)
-    return named[1] if named and head.startswith(b"POST ") else b""
+    del buffer[:request_end]
+    call_id = re.search(rb"\r\nX-Call-Id: (\S+)", head)
+    return call_id[1] if call_id and head.startswith(b"POST ") else b""
 
 
 class Relay:
-    """One link: what comes to its port goes on to another, in whatever state the link is."""
+    """One directed link between two processes: forwards TCP connections to a port, with injected faults.
+
+    The name of a link is `FROM>TO`.
+    """
 
     def __init__(self, name: str, target: int, log: Log) -> None:
         self.name, self.target, self.log = name, target, log
-        self.to_worker = name.partition(">")[2].startswith("w")
-        self.there = self.back = True  # bytes pass in this direction; else they are lost, and nobody is told
-        self.refused = False  # connections are closed at once
-        self.slow_s, self.rate = 0.0, 0.0  # bytes a second; 0: no limit
-        self.open: set[asyncio.StreamWriter] = set()
+        self.leads_to_worker = name.partition(">")[2].startswith("w")
+        # Whether bytes pass towards the target, and back. If not, they are dropped silently.
+        self.passes_forward = self.passes_back = True
+        self.refuses_connections = False  # new connections are closed at once
+        self.delay_s, self.rate_bytes_per_s = 0.0, 0.0  # a rate of 0: no limit
+        self.writers: set[asyncio.StreamWriter] = set()
 
     async def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        other = None
+        """Relays one connection to its end."""
+        target_writer = None
         try:
-            if self.refused:
+            if self.refuses_connections:
                 return
-            self.open.add(writer)
-            theirs, other = await asyncio.open_connection(HOST, self.target)
-            self.open.add(other)
-            waits: list[bytes] = []  # the job that was asked for here and has had no answer
+            self.writers.add(writer)
+            target_reader, target_writer = await asyncio.open_connection(HOST, self.target)
+            self.writers.add(target_writer)
+            unanswered: list[bytes] = []  # the last job that was sent here, until a response passes
             await asyncio.gather(
-                self._pump(reader, other, lambda: self.there, waits, True),
-                self._pump(theirs, writer, lambda: self.back, waits, False),
+                self._pump(reader, target_writer, lambda: self.passes_forward, unanswered, True),
+                self._pump(target_reader, writer, lambda: self.passes_back, unanswered, False),
             )
         except OSError:
             pass
         finally:
-            for each in (writer, other):
+            for each in (writer, target_writer):
                 if each is not None:
-                    self.open.discard(each)
+                    self.writers.discard(each)
                     each.transport.abort()
 
     async def _pump(
@@ -120,42 +140,46 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         passes: Callable[[], bool],
-        waits: list[bytes],
-        asks: bool,
+        unanswered: list[bytes],
+        is_forward: bool,
     ) -> None:
-        due: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(1000)
+        """Copies one direction of a connection until its end, with the link's delay, rate and losses.
+
+        Records `ended` if a client ends its connection to a worker before the response to a job.
+        """
+        delayed: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(1000)  # due time, bytes; empty: the end
 
-        async def give() -> None:
+        async def deliver() -> None:
             while True:
-                when, data = await due.get()
-                await asyncio.sleep(max(0.0, when - time.monotonic()))
+                due_s, data = await delayed.get()
+                await asyncio.sleep(max(0.0, due_s - time.monotonic()))
                 if not data:
                     return
                 if passes():
-                    if not asks:
-                        waits.clear()
+                    if not is_forward:
+                        unanswered.clear()
                     writer.write(data)
                     await writer.drain()
-                if self.rate:
-                    await asyncio.sleep(len(data) / self.rate)
+                if self.rate_bytes_per_s:
+                    await asyncio.sleep(len(data) / self.rate_bytes_per_s)
 
-        giving, said = asyncio.ensure_future(give()), bytearray()
+        delivery, buffer = asyncio.ensure_future(deliver()), bytearray()
         try:
             while data := await reader.read(65536):
-                if asks and self.to_worker:
-                    said += data
-                    while (job := pop_request(said)) is not None:
-                        waits[:] = [job] if job else []
-                await due.put((time.monotonic() + self.slow_s, data))
+                if is_forward and self.leads_to_worker:
+                    buffer += data
+                    while (job := pop_request(buffer)) is not None:
+                        unanswered[:] = [job] if job else []
+                await delayed.put((time.monotonic() + self.delay_s, data))
         except ConnectionError:
             pass
-        if asks and waits:  # before the 202, the end of its connection gives a job up
-            self.log.put(ev="ended", worker=self.name.rpartition(">")[2], job=waits[0].decode())
-        await due.put((time.monotonic() + self.slow_s, b""))
-        await giving
+        if is_forward and unanswered:  # the end of a connection before the 202 withdraws its job
+            self.log.write(ev="ended", worker=self.name.rpartition(">")[2], job=unanswered[0].decode())
+        await delayed.put((time.monotonic() + self.delay_s, b""))
+        await delivery
         if passes():
             writer.close()
-        else:  # an end that is lost is not seen on the other side either
+        else:  # the end of the connection is lost as well: the other side does not see it
             await asyncio.sleep(3600)
 
     def set(
@@ -167,55 +191,77 @@
         rate: float = 0.0,
         reset: bool = False,
     ) -> None:
-        self.there, self.back, self.refused, self.slow_s, self.rate = there, back, refused, slow_s, rate
+        """Sets the state of the link; what is not given returns to normal.
+
+        there, back: whether bytes pass towards the target, and back. refused: closes connections at once.
+        slow_s: delay of all bytes. rate: limit in bytes a second; 0: none. reset: aborts open connections.
+        """
+        (
+            self.passes_forward,
+            self.passes_back,
+            self.refuses_connections,
+            self.delay_s,
+            self.rate_bytes_per_s,
+        ) = (
+            there,
+            back,
+            refused,
+            slow_s,
+            rate,
+        )
         if refused or reset:
-            for each in list(self.open):
+            for each in list(self.writers):
                 each.transport.abort()
 
 
-async def relay(start: dict[str, Any]) -> tuple[dict[str, Any], Callable[[dict[str, Any]], None]]:
-    """start: links, by name the port that each leads to; log."""
-    log = Log(start["log"])
-    links, ports = {name: Relay(name, port, log) for name, port in start["links"].items()}, {}
-    for name, each in links.items():
-        server = await asyncio.start_server(each.accept, HOST, 0)
+async def relay(config: dict[str, Any]) -> tuple[dict[str, Any], Callable[[dict[str, Any]], None]]:
+    """Starts the relays; returns their ports by link, and the handler of orders.
+
+    config: links, the target port by link; log. An order may hold new target ports by link as `targets`, and
+    sets the state of the links in `names`.
+    """
+    log = Log(config["log"])
+    links, ports = {name: Relay(name, port, log) for name, port in config["links"].items()}, {}
+    for name, link in links.items():
+        server = await asyncio.start_server(link.accept, HOST, 0)
         ports[name] = server.sockets[0].getsockname()[1]
 
-    def act(order: dict[str, Any]) -> None:
+    def set_links(order: dict[str, Any]) -> None:
         for name in order.pop("names"):
             links[name].set(**order)
         for name, port in order.pop("targets", {}).items():
             links[name].target = port
 
-    def do(order: dict[str, Any]) -> None:
+    def handle_order(order: dict[str, Any]) -> None:
         for name, port in order.pop("targets", {}).items():
             links[name].target = port
-        act(order)
+        set_links(order)
 
-    return {"ports": ports}, do
+    return {"ports": ports}, handle_order
 
 
 # -- job workers
 
 
-class WorkerPart:
-    """One job worker: slots, a queue, a run time by class; every arrival, run and end is written down."""
+class JobWorker:
+    """A job worker with slots, a queue and a run time by class; records each arrival, run and end."""
 
-    def __init__(self, start: dict[str, Any]) -> None:
-        self.name, self.slots, self.run_ms = start["name"], start["slots"], start["run_ms"]
-        self.back: dict[str, int] = start["back"]  # by scheduler: the port of the link to it
-        self.log, self.how = Log(start["log"]), "up"
-        self.free = asyncio.Semaphore(self.slots)
-        self.jobs: dict[str, asyncio.Task] = {}  # that may still be dropped
-        self.tasks: set[asyncio.Task] = set()  # all of them: the loop itself holds none
-        self.random = random.Random(start.get("seed", 1))
+    def __init__(self, config: dict[str, Any]) -> None:
+        self.name, self.slots, self.run_ms = config["name"], config["slots"], config["run_ms"]
+        self.ports_by_scheduler: dict[str, int] = config["back"]  # of the links to the schedulers
+        self.log, self.mode = Log(config["log"]), "up"  # up, failing or full
+        self.free_slots = asyncio.Semaphore(self.slots)
+        self.jobs: dict[str, asyncio.Task] = {}  # jobs that can still be cancelled
+        self.tasks: set[asyncio.Task] = set()  # references to all tasks: the event loop holds weak ones only
+        self.random = random.Random(config.get("seed", 1))
 
     async def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serves one connection of a scheduler."""
         while (message := await read_message(reader)) is not None:
-            first, headers, _ = message
-            method, target, _ = first.split(" ", 2)
-            if reader.at_eof():  # before the 202, the end of its connection has given a job up
-                self.log.put(
+            start_line, headers, _ = message
+            method, target, _ = start_line.split(" ", 2)
+            if reader.at_eof():  # the end of a connection before the 202 withdraws its job
+                self.log.write(
                     ev="got",
                     worker=self.name,
                     job=headers.get("x-call-id", ""),
@@ -224,94 +270,108 @@
                 )
                 break
             try:
-                writer.write(self._answer(method, target, headers))
+                writer.write(self._respond(method, target, headers))
                 await writer.drain()
             except ConnectionError:
                 return
         writer.close()
 
-    def _answer(self, method: str, target: str, headers: dict[str, str]) -> bytes:
+    def _respond(self, method: str, target: str, headers: dict[str, str]) -> bytes:
+        """Handles one request and returns the response: POST starts a job, DELETE cancels one."""
         if method == "DELETE":
             task = self.jobs.pop(target.rsplit("/", 1)[1], None)
             if task is not None:
                 task.cancel()
-            return reply(200)
+            return response(200)
         if method != "POST":
-            return reply(200, b"{}")
+            return response(200, b"{}")
         job, cls = headers["x-call-id"], target.strip("/")
-        self.log.put(ev="got", worker=self.name, job=job, cls=cls, how=self.how)
-        if self.how == "failing":
-            return reply(500)
-        if self.how == "full":
+        self.log.write(ev="got", worker=self.name, job=job, cls=cls, how=self.mode)
+        if self.mode == "failing":
+            return response(500)
+        if self.mode == "full":
             return b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
         self.jobs[job] = task = asyncio.ensure_future(self._run(job, cls))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
-        return reply(202)
+        return response(202)
 
     async def _run(self, job: str, cls: str) -> None:
+        """Runs one job in a slot, for its class's time within 30%, then calls back its scheduler.
+
+        Tries the call-back up to 10 times, 200 ms apart.
+        """
         try:
-            async with self.free:
-                self.log.put(ev="run", worker=self.name, job=job, cls=cls)
+            async with self.free_slots:
+                self.log.write(ev="run", worker=self.name, job=job, cls=cls)
                 await asyncio.sleep(self.run_ms[cls] / 1000.0 * self.random.uniform(0.7, 1.3))
-                self.log.put(ev="done", worker=self.name, job=job, cls=cls)
+                self.log.write(ev="done", worker=self.name, job=job, cls=cls)
         except asyncio.CancelledError:
-            self.log.put(ev="dropped", worker=self.name, job=job, cls=cls)
+            self.log.write(ev="dropped", worker=self.name, job=job, cls=cls)
             return
         finally:
             self.jobs.pop(job, None)
         body = json.dumps({"id": job, "from": self.name, "state": "done", "result": "ok"}).encode()
-        port = self.back[job.split("-")[0]]
+        port = self.ports_by_scheduler[job.split("-")[0]]
         for _ in range(10):
-            told = await ask(port, "POST", "/v1/job-events", body)
-            if told is not None and told[0] in (200, 204):
+            reply = await send_request(port, "POST", "/v1/job-events", body)
+            if reply is not None and reply[0] in (200, 204):
                 return
             await asyncio.sleep(0.2)
 
 
-async def worker(start: dict[str, Any]) -> tuple[dict[str, Any], Callable[[dict[str, Any]], None]]:
-    part = WorkerPart(start)
-    server = await asyncio.start_server(part.accept, HOST, start.get("port", 0), backlog=512)
+async def worker(config: dict[str, Any]) -> tuple[dict[str, Any], Callable[[dict[str, Any]], None]]:
+    """Starts a job worker; returns its port, and the handler of orders.
 
-    def do(order: dict[str, Any]) -> None:
-        part.how = order.get("how", part.how)
-        part.back.update(order.get("back", {}))
+    An order may hold the mode (up, failing, full) as `how`, and new ports by scheduler as `back`.
+    """
+    job_worker = JobWorker(config)
+    server = await asyncio.start_server(job_worker.accept, HOST, config.get("port", 0), backlog=512)
 
-    return {"port": server.sockets[0].getsockname()[1]}, do
+    def handle_order(order: dict[str, Any]) -> None:
+        job_worker.mode = order.get("how", job_worker.mode)
+        job_worker.ports_by_scheduler.update(order.get("back", {}))
+
+    return {"port": server.sockets[0].getsockname()[1]}, handle_order
 
 
 # -- discovery
 
 
-async def discovery(start: dict[str, Any]) -> tuple[dict[str, Any], Callable[[dict[str, Any]], None]]:
-    """A listener for each scheduler, as each reaches the job workers by links of its own."""
+async def discovery(config: dict[str, Any]) -> tuple[dict[str, Any], Callable[[dict[str, Any]], None]]:
+    """Starts discovery with one listener for each scheduler; returns their ports, and the handler of orders.
+
+    Each scheduler has its own listener because it reaches the job workers by links of its own, so that its
+    endpoint list holds other ports. A request with `since` waits for a later revision, for `timeout_ms` at
+    most.
+    """
     state = {"members": {}, "revision": 1, "changed": {}}
-    news: set[asyncio.Future] = set()
+    watches: set[asyncio.Future] = set()
 
-    def listing(scheduler: str, since: int | None) -> bytes:
+    def endpoint_list(scheduler: str, since: int | None) -> bytes:
         members = [
-            dict(each, host_port=f"{HOST}:{each['ports'][scheduler]}")
-            for name, each in state["members"].items()
+            dict(member, host_port=f"{HOST}:{member['ports'][scheduler]}")
+            for name, member in state["members"].items()
             if since is None or state["changed"][name] > since
         ]
-        for each in members:
-            each.pop("ports")
-        told = {"revision": state["revision"], "complete": since is None, "members": members}
-        return json.dumps(told).encode()
+        for member in members:
+            member.pop("ports")
+        reply = {"revision": state["revision"], "complete": since is None, "members": members}
+        return json.dumps(reply).encode()
 
-    def server_of(scheduler: str) -> Callable[..., Awaitable[None]]:
+    def handler_for(scheduler: str) -> Callable[..., Awaitable[None]]:
         async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while (message := await read_message(reader)) is not None:
-                asked = message[0].split(" ")[1].partition("?")[2]
-                query = dict(each.split("=") for each in asked.split("&") if each)
+                query_string = message[0].split(" ")[1].partition("?")[2]
+                query = dict(pair.split("=") for pair in query_string.split("&") if pair)
                 since = int(query["since"]) if "since" in query else None
                 if since is not None and since >= state["revision"]:
-                    waiting = asyncio.get_running_loop().create_future()
-                    news.add(waiting)
-                    await asyncio.wait([waiting], timeout=float(query.get("timeout_ms", 10000)) / 1000.0)
-                    news.discard(waiting)
+                    watch = asyncio.get_running_loop().create_future()
+                    watches.add(watch)
+                    await asyncio.wait([watch], timeout=float(query.get("timeout_ms", 10000)) / 1000.0)
+                    watches.discard(watch)
                 try:
-                    writer.write(reply(200, listing(scheduler, since)))
+                    writer.write(response(200, endpoint_list(scheduler, since)))
                     await writer.drain()
                 except ConnectionError:
                     return
@@ -320,104 +380,110 @@
         return accept
 
     ports = {}
-    for name in start["schedulers"]:
-        server = await asyncio.start_server(server_of(name), HOST, 0)
+    for name in config["schedulers"]:
+        server = await asyncio.start_server(handler_for(name), HOST, 0)
         ports[name] = server.sockets[0].getsockname()[1]
 
-    def do(order: dict[str, Any]) -> None:
-        """order: members that have changed, by name."""
+    def handle_order(order: dict[str, Any]) -> None:
+        """Publishes the changed members of an order, by name, as one new revision."""
         state["revision"] += 1
-        for name, each in order["members"].items():
-            state["members"][name] = each
+        for name, member in order["members"].items():
+            state["members"][name] = member
             state["changed"][name] = state["revision"]
-        for each in list(news):
-            if not each.done():
-                each.set_result(None)
+        for watch in list(watches):
+            if not watch.done():
+                watch.set_result(None)
 
-    return {"ports": ports}, do
+    return {"ports": ports}, handle_order
 
 
 # -- clients
 
 
-async def clients(start: dict[str, Any]) -> tuple[dict[str, Any], Callable[[dict[str, Any]], None]]:
-    """Open arrivals at each scheduler, by its own rate; every job and its answer are written down."""
-    log, draw = Log(start["log"]), random.Random(start["seed"])
-    rates: dict[str, float] = start["rates"]  # jobs a second, by scheduler
-    ports: dict[str, int] = start["ports"]
-    classes: dict[str, dict[str, float]] = start["classes"]  # share and deadline_ms
-    running, tasks = {"on": False, "open": 0}, set[asyncio.Task]()
-
-    async def one(scheduler: str, number: int) -> None:
-        cls = draw.choices(list(classes), [each["share"] for each in classes.values()])[0]
-        job, budget = f"{scheduler}-{start['seed']}-{number}", classes[cls]["deadline_ms"]
-        log.put(ev="asked", job=job, cls=cls, budget=budget)
-        running["open"] += 1
-        began = time.monotonic()
+async def clients(config: dict[str, Any]) -> tuple[dict[str, Any], Callable[[dict[str, Any]], None]]:
+    """Starts an open-loop Poisson load on each scheduler; returns the handler of orders.
+
+    Records each job as `asked`, and its answer with the status (0: none came) and the time that it took, in
+    ms. An order may switch the load by `on`, and hold new ports by scheduler as `ports`. With `settle` a line
+    is printed as soon as every job has an answer or its wait has ended, 5 s after its budget.
+    """
+    log, rng = Log(config["log"]), random.Random(config["seed"])
+    rates: dict[str, float] = config["rates"]  # jobs a second, by scheduler
+    ports: dict[str, int] = config["ports"]
+    classes: dict[str, dict[str, float]] = config["classes"]  # share and deadline_ms
+    state, tasks = {"on": False, "open": 0}, set[asyncio.Task]()
+
+    async def send_job(scheduler: str, number: int) -> None:
+        cls = rng.choices(list(classes), [each["share"] for each in classes.values()])[0]
+        job, budget_ms = f"{scheduler}-{config['seed']}-{number}", classes[cls]["deadline_ms"]
+        log.write(ev="asked", job=job, cls=cls, budget=budget_ms)
+        state["open"] += 1
+        sent_at = time.monotonic()
         try:
             answer = await asyncio.wait_for(
-                ask(
+                send_request(
                     ports[scheduler],
                     "POST",
                     f"/{cls}",
                     b"x",
                     X_Call_Id=job,
-                    X_Budget_Ms=str(int(budget)),
+                    X_Budget_Ms=str(int(budget_ms)),
                     Idempotency_Key=job,
                 ),
-                budget / 1000.0 + 5.0,
+                budget_ms / 1000.0 + 5.0,
             )
         except TimeoutError:
             answer = None
-        running["open"] -= 1
-        log.put(
+        state["open"] -= 1
+        log.write(
             ev="answer",
             job=job,
             cls=cls,
             status=0 if answer is None else answer[0],
-            took=(time.monotonic() - began) * 1000.0,
-            budget=budget,
+            took=(time.monotonic() - sent_at) * 1000.0,
+            budget=budget_ms,
         )
 
-    async def drive(scheduler: str) -> None:
-        number, due = 0, time.monotonic()
+    async def generate_load(scheduler: str) -> None:
+        number, due_s = 0, time.monotonic()
         while True:
-            due += draw.expovariate(rates[scheduler])
-            await asyncio.sleep(max(0.0, due - time.monotonic()))
-            if running["on"]:
+            due_s += rng.expovariate(rates[scheduler])
+            await asyncio.sleep(max(0.0, due_s - time.monotonic()))
+            if state["on"]:
                 number += 1
-                task = asyncio.ensure_future(one(scheduler, number))
+                task = asyncio.ensure_future(send_job(scheduler, number))
                 tasks.add(task)
                 task.add_done_callback(tasks.discard)
 
-    def do(order: dict[str, Any]) -> None:
-        running["on"] = order.get("on", running["on"])
+    def handle_order(order: dict[str, Any]) -> None:
+        state["on"] = order.get("on", state["on"])
         ports.update(order.get("ports", {}))
         if order.get("settle"):
-            tasks.add(asyncio.ensure_future(settle()))
+            tasks.add(asyncio.ensure_future(report_settled()))
 
-    async def settle() -> None:
-        while running["open"]:
+    async def report_settled() -> None:
+        while state["open"]:
             await asyncio.sleep(0.02)
         print(json.dumps({"settled": True}), flush=True)
 
-    for each in rates:
-        tasks.add(asyncio.ensure_future(drive(each)))
-    return {}, do
+    for scheduler in rates:
+        tasks.add(asyncio.ensure_future(generate_load(scheduler)))
+    return {}, handle_order
 
 
 PARTS = {"relay": relay, "worker": worker, "discovery": discovery, "clients": clients}
 
 
 async def main() -> None:
+    """Runs the part that the command line names, until the end of standard input."""
     reader = asyncio.StreamReader(limit=1 << 22)
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-    begun, do = await PARTS[sys.argv[1]](json.loads(await reader.readline()))
-    print(json.dumps(begun), flush=True)
+    ready, handle_order = await PARTS[sys.argv[1]](json.loads(await reader.readline()))
+    print(json.dumps(ready), flush=True)
     while line := await reader.readline():
-        do(json.loads(line))
-    os._exit(0)  # whatever is under way ends with its rig
+        handle_order(json.loads(line))
+    os._exit(0)  # abandons the open connections and jobs
 
 
 if __name__ == "__main__":
