--- a/measure/fleet/parts.py
+++ b/measure/fleet/parts.py
@@ -6,8 +6,8 @@
 JSON object with its ports. Every further line of input is an order, a JSON object as well. A process ends
 with its standard input. All processes listen on the loopback address only.
 
-Events are appended to the file that `log` names, one JSON object a line. The field `t` is the time of the wall
-clock in s, so that check.py can merge the files of all processes in order of time.
+Events are appended to the file that `log` names, one JSON object a line. The field `t` is the wall clock's
+time in s, so that check.py can merge the files of all processes in order of time.
 """
 
 from __future__ import annotations
