--- a/measure/fleet/drawn.py
+++ b/measure/fleet/drawn.py
@@ -136,7 +136,7 @@
         begun = time.monotonic()
         for step in steps:
             time.sleep(max(0.0, begun + step.at - time.monotonic()))
-            getattr(self, step.do)(*step.what)
+            getattr(self, step.send_order)(*step.what)
 
     def blind(self, one: str, how: dict[str, Any]) -> None:
         self.ground.set_link_state(self.ground.links_between([one], self.ground.workers), **how)
@@ -155,7 +155,7 @@
         self.ground.set_link_state(self.ground.links_between(names, far), **how)
 
     def worker(self, name: str, how: str) -> None:
-        self.ground.parts[name].do({"how": how})
+        self.ground.parts[name].send_order({"how": how})
 
     def zone(self, name: str, how: str) -> None:
         self.ground.set_worker_mode(name, how)
@@ -311,7 +311,7 @@
         if row["wrong"]:
             click.echo(f"seed {row['seed']}: {row['wrong'][:2]}")
             click.echo(f"    {[tuple(each) for each in row['steps']]}")
-    steps = Counter(each.do for row in rows for each in row["steps"])
+    steps = Counter(each.send_order for row in rows for each in row["steps"])
     bad = sum(bool(row["wrong"]) for row in rows)
     click.echo(f"{form} {bug}: {len(rows)} days, {bad} with something wrong; steps {dict(steps)}")
     for name in ("left_s", "open_s", "fullest"):
--- a/measure/fleet/ground.py
+++ b/measure/fleet/ground.py
@@ -50,10 +50,10 @@
         self.process = subprocess.Popen(
             command, cwd=ROOT, text=True, stdin=subprocess.PIPE, stdout=subprocess.PIPE
         )
-        self.do(start)
+        self.send_order(start)
         self.begun = json.loads(self.process.stdout.readline())
 
-    def do(self, order: dict[str, Any]) -> None:
+    def send_order(self, order: dict[str, Any]) -> None:
         with self.lock:
             self.process.stdin.write(json.dumps(order) + "\n")
             self.process.stdin.flush()
@@ -172,7 +172,7 @@
 
     def list_workers(self, names: Iterable[str], phase: str = "active") -> None:
         """Have discovery tell of them."""
-        self.parts["discovery"].do(
+        self.parts["discovery"].send_order(
             {
                 "members": {
                     name: {
@@ -282,7 +282,7 @@
         self.starting.discard(name)
         self.lead({f"{worker}>{name}": program.addresses["clients"][1] for worker in self.workers})
         if "clients" in self.parts:
-            self.parts["clients"].do({"ports": {name: program.addresses["clients"][1]}})
+            self.parts["clients"].send_order({"ports": {name: program.addresses["clients"][1]}})
 
     def process(self, name: str) -> subprocess.Popen:
         return (self.programs.get(name) or self.parts[name]).process
@@ -333,7 +333,7 @@
     # -- links
 
     def lead(self, targets: dict[str, int]) -> None:
-        self.relay.do({"names": [], "targets": targets})
+        self.relay.send_order({"names": [], "targets": targets})
 
     def links_between(self, one: Iterable[str], other: Iterable[str]) -> list[str]:
         """All links between any of one side and any of the other."""
@@ -349,7 +349,7 @@
         """there, back: whether bytes pass this way; refused; slow_s; rate; reset."""
         names = list(names)
         self.touched.update(end for name in names for end in name.split(">"))
-        self.relay.do({"names": names, **how})
+        self.relay.send_order({"names": names, **how})
 
     # -- zones
 
@@ -368,7 +368,7 @@
 
     def set_worker_mode(self, zone: str, how: str) -> None:
         for name in self.workers_in_zone(zone):
-            self.parts[name].do({"how": how})
+            self.parts[name].send_order({"how": how})
 
     # -- what is told
 
@@ -432,11 +432,11 @@
     # -- load
 
     def generate_load(self, on: bool) -> None:
-        self.parts["clients"].do({"on": on})
+        self.parts["clients"].send_order({"on": on})
 
     def settle(self) -> None:
         """No more jobs, and every answer is there."""
-        self.parts["clients"].do({"on": False, "settle": True})
+        self.parts["clients"].send_order({"on": False, "settle": True})
         self.parts["clients"].process.stdout.readline()
 
     def rule_violations(self, gone: Iterable[str] = ()) -> list[str]:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -248,7 +248,7 @@
     def test_one_bad_worker_a_full_zone_and_no_discovery(self) -> None:
         fleet = self.start_fleet(seed=13, per_zone=3)
         fleet.set_link_state(fleet.links_between(fleet.schedulers, ["discovery"]), there=False, back=False)
-        fleet.parts["wa0"].do({"how": "failing"})
+        fleet.parts["wa0"].send_order({"how": "failing"})
         fleet.set_worker_mode("b", "full")
         fleet.wait_until(
             lambda: any(
