--- a/measure/fleet/ground.py
+++ b/measure/fleet/ground.py
@@ -79,7 +79,7 @@
         rate: float = 12.0,
         regions: dict[str, list[str]] | None = None,
         fleet_zones: bool = True,
-        solo: bool = False,
+        standalone: bool = False,
         policy: bool = False,
         away_ms: float = AWAY_MS,
         command: tuple[str, ...] = ("-m", "spanwing"),
@@ -95,7 +95,7 @@
         self.schedulers = [f"s{number}" for number in range(schedulers)]
         self.members = self.schedulers[:members]
         self.away_ms = away_ms
-        self.balancers, self.solo, self.policy = balancers or schedulers, solo, policy
+        self.balancers, self.standalone, self.policy = balancers or schedulers, standalone, policy
         run_ms = {cls: each["run_ms"] for cls, each in CLASSES.items()}
         self.bears = check.WarmUpLimits(0.3, cold_ms, 3.0, FALL_MS, slots, run_ms)
         self.regions, self.with_zones, self.command = regions or {}, fleet_zones, command
@@ -247,7 +247,7 @@
             )
             fronts += f'[store]\nmember = "{name}"\ndirectory = "{store}"\nlisten = "{HOST}:0"\n'
             fronts += f"peers = {{ {peers} }}\n" if peers else ""
-        if self.with_zones and self.solo:
+        if self.with_zones and self.standalone:
             fronts += "[zones]\nalone = true\n"
         elif self.with_zones:
             fronts += f"[zones]\nmembers = {{ {members} }}\nlease_ms = 2000.0\n"
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -188,7 +188,7 @@
     """Schedulers that may not communicate: each decides by its own evidence."""
 
     def test_each_leaves_a_killed_zone_and_returns(self) -> None:
-        fleet = self.start_fleet(seed=8, solo=True, per_zone=3, members=1)
+        fleet = self.start_fleet(seed=8, standalone=True, per_zone=3, members=1)
         fleet.kill_zone("a")
         self.wait_until_left(fleet, "a")
         self.assertEqual((fleet.states("b"), fleet.states("c")), ({"open"}, {"open"}))
@@ -198,7 +198,7 @@
         self.assertEqual(fleet.rule_violations()[:5], [])
 
     def test_one_that_is_cut_off_leaves_nothing(self) -> None:
-        fleet = self.start_fleet(seed=9, solo=True, members=1)
+        fleet = self.start_fleet(seed=9, standalone=True, members=1)
         fleet.set_link_state(fleet.links_between(["s4"], fleet.workers), refused=True)
 
         def has_good_evidence() -> bool:
