--- a/measure/fleet/drawn.py
+++ b/measure/fleet/drawn.py
@@ -129,7 +129,7 @@
         self.gone: set[str] = set()
         self.kept_stopped = ""
         # A return has its workers cold for long, and more work than the others can do meanwhile.
-        rate, more = (20.0, {"slots": 2, "cold_ms": 9000.0}) if form == "return" else (12.0, {})
+        rate, more = (20.0, {"slots": 2, "slow_start_ms": 9000.0}) if form == "return" else (12.0, {})
         self.ground = ProcessFleet(len(SCHEDULERS), ZONES, 3, MEMBERS, seed, rate, command=command, **more)
 
     def play(self, steps: list[Step]) -> None:
@@ -256,7 +256,7 @@
             played.lose(zone, row["how"])
             if form == "lost":
                 played.play(steps)
-            went = ground.time_of(zone, "leaving", LEFT_S)
+            went = ground.state_change_time(zone, "leaving", LEFT_S)
             if went is None:
                 row["wrong"].append(f"{zone}, {row['how']}, was not left")
             else:
@@ -286,7 +286,7 @@
         ]
         ground.settle()
         row["wrong"] += ground.rule_violations(tuple(played.gone))[:5]
-        row["fullest"] = ground.fullest()
+        row["fullest"] = ground.max_budget_usage()
     except (AssertionError, OSError, RuntimeError, ValueError) as error:
         row["wrong"].append(f"{type(error).__name__}: {error}"[:1500])
     finally:
--- a/measure/fleet/long.py
+++ b/measure/fleet/long.py
@@ -21,7 +21,7 @@
 import click
 
 from measure.fleet import check
-from measure.fleet.ground import COLD_MS, ProcessFleet
+from measure.fleet.ground import SLOW_START_MS, ProcessFleet
 
 WINDOW_S = 6.0
 KINDS = ("killed", "silent", "failing", "cut")
@@ -54,7 +54,7 @@
         zone = "a"
         inside = [
             *ground.workers_in_zone(zone),
-            *(name for name in ground.schedulers if ground.zone[name] == zone),
+            *(name for name in ground.schedulers if ground.zone_by_scheduler[name] == zone),
         ]
         outside = [name for name in (*ground.schedulers, *ground.workers) if name not in inside]
         lost = time.time()
@@ -159,7 +159,7 @@
             f"followed after {part(follow, 0.5):.0f} ms (p50), {part(follow, 0.99):.0f} (p99), "
             f"{max(follow):.0f} (most); into the zone after that {sum(row['into'] for row in rows)}; "
             f"open {part(opened, 0.5):.1f} s after its return (p50), {max(opened):.1f} (most), "
-            f"of which {COLD_MS / 1000:.0f} s it is cold"
+            f"of which {SLOW_START_MS / 1000:.0f} s it is cold"
         )
     fates = sum((Counter(row["fates"]) for row in rows), Counter())
     click.echo(
