--- a/measure/fleet/simulated.py
+++ b/measure/fleet/simulated.py
@@ -1,16 +1,23 @@
-"""The deciders of the fleet's zones in simulated time: members, schedulers and job workers with faults from a
-seed.
+"""Simulated fleets that lose a zone, with faults drawn from a seed, to check the zones' decision code.
 
     .venv/bin/python -m measure.fleet.simulated --seeds 1000
     .venv/bin/python -m measure.fleet.simulated --seeds 200 --aim return --bug no-lease
 
-What runs is the program's own keeper, steward, lease, gate and witness; the register that members share is
-one value that is read and changed at one moment within each call. Each process has a clock of its own that is
-off by up to 4%. Stopped processes hear nothing until they continue; their clocks run on. Worlds that aim at a
-return have a long one, leases of 2 to 9 s, and all their faults in it: stops, cuts, restarts, members that
-reach no other member but are reached by schedulers. Checked: in every
-window of fall_ms, a cold worker of a returning zone is fed by as many dealt feeders as it has parts, and one
-that acts alone; a zone that did not fail is not left; one that failed is left, and open again in the end.
+The program's own Leader, ZoneController, Lease and ZoneAgent run in simulated time. The store is one document
+that is read and changed in one instant within each call. Each process has a clock of its own, whose rate is
+off by up to 4%. A stopped process receives nothing until it continues, while its clock runs on.
+
+A run with `--aim return` has a long slow start of the returning workers and leases of 2 to 9 s, and all its
+faults happen during the return: stopped and restarted processes, processes that are cut off, and members that
+reach no other member but are still reached by schedulers.
+
+Rules that must hold:
+
+- In every overload window, a worker in slow start of a returning zone is fed by at most as many assigned
+  feeders as its budget has parts, and by at most one scheduler that acts without a lease.
+- A zone that did not fail is not left.
+
+Reported besides: whether the failed zone was left, when, and whether it is open again at the end.
 """
 
 from __future__ import annotations
@@ -38,225 +45,263 @@
 from spanwing.zones.routing_filter import RoutingRules
 from spanwing.zones.state import read_fleet_zones
 
-LEASE_MS, COLD_MS, FALL_MS, FEEDERS = 2000.0, 8600.0, 3000.0, 3
+LEASE_MS, SLOW_START_MS, OVERLOAD_WINDOW_MS, FEEDER_COUNT = 2000.0, 8600.0, 3000.0, 3
 ZONES = ("athlone", "galway", "limerick")
 BUGS = ("no-lease", "no-wait", "no-acknowledge", "no-read", "minority")
-LATE_MS = 2500.0  # a job is on its way so long at most
+MAX_TRANSIT_MS = 2500.0  # the longest time that a job is on its way to a worker
 
 
 @dataclass
 class Worker:
+    """A job worker."""
+
     number: int
     zone: str
-    started: float = 0.0  # true time of its last start; 0: long ago
-    how: str = "up"  # down, silent, failing, slow
+    started_at_ms: float = 0.0  # of the true clock; 0: long ago
+    mode: str = "up"  # up, down, silent, failing or slow
     listed: bool = True
 
 
 class Process:
-    """Something with a clock that can be stopped, cut off and started anew."""
+    """A simulated process with its own clock, which can be stopped, cut off and restarted."""
 
     def __init__(self, world: World, name: str) -> None:
         self.world, self.name = world, name
-        self.rate, self.offset = world.random.uniform(0.96, 1.04), world.random.uniform(0, 1e6)
+        self.clock_rate, self.clock_offset_ms = (
+            world.random.uniform(0.96, 1.04),
+            world.random.uniform(0, 1e6),
+        )
         self.up, self.stopped, self.cut = True, False, False
-        self.lonely = False  # it reaches no other member, and none reaches it
-        self.life = 0
-        self.missed: list[Callable[[], None]] = []
+        self.isolated = False  # a member that neither reaches other members nor is reached by them
+        self.incarnation = 0
+        self.deferred_calls: list[Callable[[], None]] = []  # due while the process was stopped
 
     def now(self) -> float:
-        return self.offset + self.rate * self.world.agenda.now_ms
+        """Returns the time of this process's clock, in ms."""
+        return self.clock_offset_ms + self.clock_rate * self.world.event_queue.now_ms
 
-    def call(self, after: float, what: Callable[[], None]) -> None:
-        """Have it do something later, unless it has started anew since; when it is stopped, once it
-        continues."""
-        life = self.life
+    def call_later(self, delay_ms: float, callback: Callable[[], None]) -> None:
+        """Schedules a call-back, after a delay of the true clock.
 
-        def due() -> None:
-            if self.life != life or not self.up:
+        A restart in between drops it. If the process is stopped then, it runs once the process continues.
+        """
+        incarnation = self.incarnation
+
+        def run() -> None:
+            if self.incarnation != incarnation or not self.up:
                 return
             if self.stopped:
-                self.missed.append(due)
+                self.deferred_calls.append(run)
             else:
-                what()
+                callback()
 
-        self.world.agenda.schedule_after(after, due)
+        self.world.event_queue.schedule_after(delay_ms, run)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
+        """Continues the process and makes the calls that were due meanwhile."""
         self.stopped = False
-        missed, self.missed = self.missed, []
-        for each in missed:
-            each()
+        deferred_calls, self.deferred_calls = self.deferred_calls, []
+        for run in deferred_calls:
+            run()
 
 
 class Member(Process):
-    """One member of the store: the keeper's core, driven."""
+    """A member of the store: drives the program's Leader and ZoneController."""
 
     def __init__(self, world: World, name: str) -> None:
         super().__init__(world, name)
-        self.begin()
+        self.start()
 
-    def begin(self) -> None:
+    def start(self) -> None:
+        """Starts with empty state."""
         world = self.world
-        bounds = ZoneLimits(FALL_MS + LATE_MS, world.cold, world.count, world.regions)
-        self.steward = ZoneController(
-            bounds, world.listing, lambda: world.agenda.now_ms, self.name, lambda: f"{world.random.random()}"
+        limits = ZoneLimits(
+            OVERLOAD_WINDOW_MS + MAX_TRANSIT_MS, world.slow_start_ms, world.scheduler_count, world.regions
+        )
+        self.controller = ZoneController(
+            limits,
+            world.listed_workers,
+            lambda: world.event_queue.now_ms,
+            self.name,
+            lambda: f"{world.random.random()}",
         )
-        self.keeper = Leader(self.name, world.lease, self.steward, self.now(), world.random.random)
-        self.call(25.0, self.turn)
-
-    def turn(self) -> None:
-        keeper, now = self.keeper, self.now()
-        keeper.answer_due_renewals(now)
-        if keeper.is_leader_silent(now):
-            self.world.read(self, lambda: self.take_over())
-        elif keeper.is_leader():
+        self.leader = Leader(self.name, world.lease_ms, self.controller, self.now(), world.random.random)
+        self.call_later(25.0, self.poll)
+
+    def poll(self) -> None:
+        """Answers renewals that are due, then takes over a silent leadership or acts as the leader."""
+        leader, now = self.leader, self.now()
+        leader.answer_due_renewals(now)
+        if leader.is_leader_silent(now):
+            self.world.read_document(self, lambda: self.take_over())
+        elif leader.is_leader():
             if "no-read" in self.world.bugs:
-                keeper.handle_read(now, now, keeper.document)
-            self.world.read(self, self.keep)
+                leader.handle_read(now, now, leader.document)
+            self.world.read_document(self, self.lead)
         else:
-            self.call(25.0, self.turn)
+            self.call_later(25.0, self.poll)
 
     def take_over(self) -> None:
-        if self.keeper.is_leader_silent(self.now()):
-            self.world.change(
-                self, self.keeper.takeover_transaction(self.now(), f"{self.world.random.random()}")
+        """Tries to become the leader, if the leader is still silent after the read."""
+        if self.leader.is_leader_silent(self.now()):
+            self.world.change_document(
+                self, self.leader.takeover_transaction(self.now(), f"{self.world.random.random()}")
             )
         else:
-            self.call(25.0, self.turn)
+            self.call_later(25.0, self.poll)
 
-    def keep(self) -> None:
+    def lead(self) -> None:
+        """Makes the controller's next change, if there is one."""
         txn = None
-        if self.keeper.is_leader():
-            txn = self.steward.decide_next_change(self.now(), self.keeper.document, self.keeper)
+        if self.leader.is_leader():
+            txn = self.controller.decide_next_change(self.now(), self.leader.document, self.leader)
         if txn is None:
-            self.call(25.0, self.turn)
+            self.call_later(25.0, self.poll)
         else:
-            self.world.change(self, self.keeper.on_condition_of_leadership(txn))
+            self.world.change_document(self, self.leader.on_condition_of_leadership(txn))
 
 
 class Scheduler(Process):
-    """One scheduler: lease, gate and witness, driven, and jobs sent to whatever the gate lets it use."""
+    """A scheduler: drives the program's Lease and ZoneAgent, and sends jobs as its routing filter allows."""
 
     def __init__(self, world: World, name: str, zone: str, position: int) -> None:
         super().__init__(world, name)
         self.zone, self.position = zone, position
-        self.begin()
+        self.start()
 
-    def begin(self) -> None:
+    def start(self) -> None:
+        """Starts with empty state and a new session."""
         world = self.world
-        self.session = f"{self.name}.{self.life}"
+        self.session = f"{self.name}.{self.incarnation}"
         self.lease, self.document = Lease(), Document()
-        rules = RoutingRules(self.session, self.zone, world.cold, FALL_MS, FEEDERS)
+        rules = RoutingRules(self.session, self.zone, world.slow_start_ms, OVERLOAD_WINDOW_MS, FEEDER_COUNT)
         if "no-wait" in world.bugs:
-            rules = rules._replace(overload_window_ms=-LATE_MS)
-        self.local = ZoneAgent(
+            rules = rules._replace(overload_window_ms=-MAX_TRANSIT_MS)
+        self.agent = ZoneAgent(
             rules,
             self.position,
-            world.count,
-            lambda worker: self.position in world.hashed(worker),
+            world.scheduler_count,
+            lambda worker: self.position in world.default_feeders(worker),
             world.random,
         )
-        self.renewals, self.jobs, self.granted = 0, 0, 0
-        self.look()
-        self.ask_around()
+        self.last_renewal_id, self.job_count, self.answered_renewal_id = 0, 0, 0
+        self.update_workers()
+        self.probe_in_background()
         self.renew()
-        self.call(world.random.uniform(20, 140), self.job)
+        self.call_later(world.random.uniform(20, 140), self.send_job)
 
-    def look(self) -> None:
-        """Discovery's list, which is late."""
-        news = api.WorkerList(
+    def update_workers(self) -> None:
+        """Reads the endpoint list, every 500 ms, so that it is stale for up to that long."""
+        worker_list = api.WorkerList(
             "complete",
             tuple(
-                api.Worker(each.number, zone=each.zone, started=each.started)
-                for each in self.world.workers
-                if each.listed
+                api.Worker(worker.number, zone=worker.zone, started=worker.started_at_ms)
+                for worker in self.world.workers
+                if worker.listed
             ),
         )
-        self.local.filter_workers(news, self.now(), self.world.agenda.now_ms, self.holds())
-        self.call(500.0, self.look)
+        self.agent.filter_workers(worker_list, self.now(), self.world.event_queue.now_ms, self.has_lease())
+        self.call_later(500.0, self.update_workers)
 
     def renew(self) -> None:
-        self.renewals += 1
-        n, now = self.renewals, self.now()
-        self.lease.record_renewal(n, now)
-        payload = msgspec.json.encode(self.local.build_evidence_report(now, (), 0.0))
+        """Sends a renewal with the evidence report to a random member; repeats it if no reply comes."""
+        self.last_renewal_id += 1
+        message_id, now = self.last_renewal_id, self.now()
+        self.lease.record_renewal(message_id, now)
+        payload = msgspec.json.encode(self.agent.build_evidence_report(now, (), 0.0))
         message = Renew(
-            n, self.session, self.zone, self.position, self.document.revision, msgspec.Raw(payload)
+            message_id, self.session, self.zone, self.position, self.document.revision, msgspec.Raw(payload)
+        )
+        member, incarnation = self.world.random.choice(self.world.members), self.incarnation
+        self.world.send(self, member, lambda: self.world.deliver_renewal(self, incarnation, member, message))
+        self.call_later(
+            1000.0 + self.world.random.uniform(0, 500), lambda: self.renew_if_unanswered(message_id)
         )
-        member, life = self.world.random.choice(self.world.members), self.life
-        self.world.tell(self, member, lambda: self.world.pass_on(self, life, member, message))
-        self.call(1000.0 + self.world.random.uniform(0, 500), lambda: self.unanswered(n))
 
-    def unanswered(self, n: int) -> None:
-        if self.granted < n == self.renewals:
+    def renew_if_unanswered(self, message_id: int) -> None:
+        """Renews again if this renewal is the last one and has no reply."""
+        if self.answered_renewal_id < message_id == self.last_renewal_id:
             self.renew()
 
-    def hear(self, granted: RenewalReply) -> None:
+    def handle_reply(self, reply: RenewalReply) -> None:
+        """Follows the document, extends the lease and schedules the next renewal."""
         before = self.document
-        self.document = catch_up(before, granted.changes, granted.document)
+        self.document = catch_up(before, reply.changes, reply.document)
         if self.document is not before:
-            self.local.routing_filter.update_zones(
-                read_fleet_zones(self.document), self.now(), self.world.agenda.now_ms
+            self.agent.routing_filter.update_zones(
+                read_fleet_zones(self.document), self.now(), self.world.event_queue.now_ms
             )
-        self.lease.extend(granted.message_id, granted.lease_ms)
-        if granted.zones_to_probe:
-            self.ask(self.local.choose_workers_to_probe(granted.zones_to_probe))
-        if granted.message_id == self.renewals and granted.message_id > self.granted:
-            self.granted = granted.message_id
-            self.call(100.0 if granted.lease_ms else self.world.random.uniform(50, 400), self.renew)
-
-    def holds(self) -> bool:
-        return self.lease.is_valid(self.now()) or ("no-lease" in self.world.bugs and self.granted > 0)
-
-    def job(self) -> None:
-        """A job for some worker, if it may have one."""
+        self.lease.extend(reply.message_id, reply.lease_ms)
+        if reply.zones_to_probe:
+            self.probe_workers(self.agent.choose_workers_to_probe(reply.zones_to_probe))
+        if reply.message_id == self.last_renewal_id and reply.message_id > self.answered_renewal_id:
+            self.answered_renewal_id = reply.message_id
+            self.call_later(100.0 if reply.lease_ms else self.world.random.uniform(50, 400), self.renew)
+
+    def has_lease(self) -> bool:
+        """Returns whether the lease is valid; with the bug no-lease, whether it ever was granted."""
+        return self.lease.is_valid(self.now()) or (
+            "no-lease" in self.world.bugs and self.answered_renewal_id > 0
+        )
+
+    def send_job(self) -> None:
+        """Sends a job to a random worker, if the routing filter allows it, and schedules the next job."""
         world, now = self.world, self.now()
-        self.call(world.random.uniform(20, 100), self.job)
-        lease, clock = self.holds(), world.agenda.now_ms
+        self.call_later(world.random.uniform(20, 100), self.send_job)
+        has_lease, clock_ms = self.has_lease(), world.event_queue.now_ms
         worker = world.random.choice(world.workers)
-        if world.aimed and world.random.random() < 0.7:
-            worker = world.random.choice([each for each in world.workers if each.zone == world.aimed])
-        gate = self.local.routing_filter
-        if worker.number not in gate.workers:
+        if world.busy_zone and world.random.random() < 0.7:
+            worker = world.random.choice([each for each in world.workers if each.zone == world.busy_zone])
+        routing_filter = self.agent.routing_filter
+        if worker.number not in routing_filter.workers:
             return
-        use = gate.routing[worker.number]
-        by_hash = (
-            self.position in world.hashed(worker.number)
-            or not lease
-            or use.started_at_ms <= 0
-            or clock >= use.started_at_ms + world.cold
+        routing = routing_filter.routing[worker.number]
+        # A worker in slow start that has no assigned feeders is left to its default feeders.
+        may_feed_by_default = (
+            self.position in world.default_feeders(worker.number)
+            or not has_lease
+            or routing.started_at_ms <= 0
+            or clock_ms >= routing.started_at_ms + world.slow_start_ms
         )
-        if gate.may_forward(worker.number, now, lease, clock) and (use.is_feeder is not None or by_hash):
-            # By a list that does not show its new life yet, a worker of an open zone is fed as ever.
-            inside = gate.fleet is not None and gate.fleet.get_zone(worker.zone).used_by_own_zone
-            blind = use.started_at_ms < worker.started and (use.is_feeder is None or not lease or inside)
-            self.jobs += 1
-            key = f"{self.session} {self.jobs}", 0
-            self.local.attempt_sent(now, worker.number, key)
-            dealt = use.is_feeder is not None and lease
-            who = (
-                self.session if dealt else self.name,
-                0.5 if dealt and now < use.full_budget_from_ms else 1.0,
-                dealt,
+        if routing_filter.may_forward(worker.number, now, has_lease, clock_ms) and (
+            routing.is_feeder is not None or may_feed_by_default
+        ):
+            # While this scheduler's endpoint list does not show the worker's restart, it does not know of the
+            # slow start and sends to a worker of an open zone as before.
+            used_by_own_zone = (
+                routing_filter.fleet is not None
+                and routing_filter.fleet.get_zone(worker.zone).used_by_own_zone
+            )
+            is_restart_unknown = routing.started_at_ms < worker.started_at_ms and (
+                routing.is_feeder is None or not has_lease or used_by_own_zone
             )
-            world.job(self, worker, key, who, None if blind else lease)
+            self.job_count += 1
+            key = f"{self.session} {self.job_count}", 0
+            self.agent.attempt_sent(now, worker.number, key)
+            is_assigned = routing.is_feeder is not None and has_lease
+            feeding = (
+                self.session if is_assigned else self.name,
+                0.5 if is_assigned and now < routing.full_budget_from_ms else 1.0,
+                is_assigned,
+            )
+            world.send_attempt(self, worker, key, feeding, None if is_restart_unknown else has_lease)
 
-    def ask_around(self) -> None:
-        for number in self.local.choose_background_probes():
+    def probe_in_background(self) -> None:
+        """Probes the workers that the agent chooses, about once a second."""
+        for number in self.agent.choose_background_probes():
             self.world.probe(self, number)
-        self.call(self.world.random.uniform(800, 1200), self.ask_around)
+        self.call_later(self.world.random.uniform(800, 1200), self.probe_in_background)
 
-    def ask(self, numbers: list[int]) -> None:
-        """A look on bad news, before it is told."""
+    def probe_workers(self, numbers: list[int]) -> None:
+        """Probes workers that look bad, and renews 100 ms later to report what the probes found."""
         for number in numbers:
             self.world.probe(self, number)
         if numbers:
-            self.call(100.0, self.renew)
+            self.call_later(100.0, self.renew)
 
 
 class World:
-    """All of it, from a seed."""
+    """All processes, the network, the store's document and the workers of one simulated fleet."""
 
     def __init__(
         self,
@@ -265,314 +310,382 @@
         schedulers: int = 9,
         per_zone: int = 3,
         regions: dict[str, tuple[str, ...]] | None = None,
-        lease: float = LEASE_MS,
-        cold: float = COLD_MS,
+        lease_ms: float = LEASE_MS,
+        slow_start_ms: float = SLOW_START_MS,
     ) -> None:
-        self.lease, self.cold, self.aimed = lease, cold, ""  # aimed: a zone that most jobs go to
-        self.random, self.agenda, self.bugs = random.Random(seed), EventQueue(), bugs
-        self.document, self.regions, self.count = Document(), regions or {}, schedulers
+        """Starts three members and the schedulers; bugs: some of BUGS; per_zone: workers in each zone."""
+        self.lease_ms, self.slow_start_ms, self.busy_zone = lease_ms, slow_start_ms, ""  # "": no busy zone
+        self.random, self.event_queue, self.bugs = random.Random(seed), EventQueue(), bugs
+        self.document, self.regions, self.scheduler_count = Document(), regions or {}, schedulers
         self.workers = [
             Worker(stable_hash(number, seed) & 0xFFFFFFFFFFFF, ZONES[number % len(ZONES)])
             for number in range(per_zone * len(ZONES))
         ]
-        self.hashes: dict[int, list[int]] = {}
-        self.fed: dict[tuple[int, float], list[tuple[float, tuple[str, float, bool], bool]]]
-        self.fed = defaultdict(list)
-        self.into: Counter[str] = Counter()
-        self.states: list[tuple[float, str, str]] = []  # when, zone, state
+        self.feeder_cache: dict[int, list[int]] = {}
+        # Jobs that came to a worker in slow start, by worker and start time: arrival in ms, the sender's part
+        # of the budget as in send_attempt, and whether the sender had a lease.
+        self.feedings: dict[tuple[int, float], list[tuple[float, tuple[str, float, bool], bool]]]
+        self.feedings = defaultdict(list)
+        self.arrivals_while_down: Counter[str] = Counter()
+        self.state_changes: list[tuple[float, str, str]] = []  # time in ms, zone, state
         self.members = [Member(self, f"m{number}") for number in range(3)]
         self.schedulers = [
             Scheduler(self, f"s{number}", ZONES[number % len(ZONES)], number) for number in range(schedulers)
         ]
-        self.wrong: list[str] = []
+        self.violations: list[str] = []
         if "no-acknowledge" in bugs:
-            for each in self.members:
-                each.keeper.is_acknowledged_by = lambda *_: True
-
-    def hashed(self, worker: int) -> list[int]:
-        """The positions that feed a cold worker while nothing is dealt, as in the module."""
-        if worker not in self.hashes:
-            self.hashes[worker] = nlargest(
-                FEEDERS, range(self.count), key=lambda node: stable_hash(worker, node)
+            for member in self.members:
+                member.leader.is_acknowledged_by = lambda *_: True
+
+    def default_feeders(self, worker: int) -> list[int]:
+        """Returns the scheduler positions that feed a worker in slow start without an assignment.
+
+        They are chosen by a hash, as in the decision module.
+        """
+        if worker not in self.feeder_cache:
+            self.feeder_cache[worker] = nlargest(
+                FEEDER_COUNT, range(self.scheduler_count), key=lambda node: stable_hash(worker, node)
             )
-        return self.hashes[worker]
-
-    def listing(self) -> dict[str, list[ListedWorker]]:
-        found: dict[str, list[ListedWorker]] = defaultdict(list)
-        for each in self.workers:
-            if each.listed:
-                cold = each.started > 0 and self.agenda.now_ms < each.started + self.cold
-                found[each.zone].append(ListedWorker(each.number, each.started, cold))
-        return found
-
-    # -- the network and the register
-
-    def delay(self) -> float:
-        slow = self.random.random() < 0.02
-        return self.random.uniform(100.0, 2000.0) if slow else self.random.uniform(0.5, 20.0)
-
-    def tell(self, one: Process, other: Process, what: Callable[[], None]) -> None:
-        apart = (one.lonely or other.lonely) and isinstance(one, Member) and isinstance(other, Member)
-        if not one.cut and not other.cut and not apart:
-            other.call(self.delay(), what)
-
-    def pass_on(self, scheduler: Scheduler, life: int, member: Member, message: Renew) -> None:
-        keeps = member.keeper.leadership()
-        named = None if keeps is None else keeps.member
-        keeper = next((each for each in self.members if each.name == named), None)
-
-        def answer(by: Member) -> Callable[[RenewalReply], None]:
-            def told(granted: RenewalReply) -> None:
-                if scheduler.life == life:
-                    self.tell(by, scheduler, lambda: scheduler.hear(granted))
-
-            return told
-
-        if member.keeper.is_leader():
-            member.keeper.handle_renewal(member.now(), message, answer(member))
-        elif keeper is not None and keeper is not member:
-            self.tell(
+        return self.feeder_cache[worker]
+
+    def listed_workers(self) -> dict[str, list[ListedWorker]]:
+        """Returns the listed workers by zone, as a member knows them."""
+        by_zone: dict[str, list[ListedWorker]] = defaultdict(list)
+        for worker in self.workers:
+            if worker.listed:
+                is_warming_up = (
+                    worker.started_at_ms > 0
+                    and self.event_queue.now_ms < worker.started_at_ms + self.slow_start_ms
+                )
+                by_zone[worker.zone].append(ListedWorker(worker.number, worker.started_at_ms, is_warming_up))
+        return by_zone
+
+    # -- the network and the store
+
+    def delay_ms(self) -> float:
+        """Draws the delay of one message: up to 20 ms, or up to 2 s for one in fifty."""
+        is_slow = self.random.random() < 0.02
+        return self.random.uniform(100.0, 2000.0) if is_slow else self.random.uniform(0.5, 20.0)
+
+    def send(self, sender: Process, receiver: Process, callback: Callable[[], None]) -> None:
+        """Delivers a message as a call at the receiver, unless the two cannot reach each other."""
+        is_partitioned = (
+            (sender.isolated or receiver.isolated)
+            and isinstance(sender, Member)
+            and isinstance(receiver, Member)
+        )
+        if not sender.cut and not receiver.cut and not is_partitioned:
+            receiver.call_later(self.delay_ms(), callback)
+
+    def deliver_renewal(self, scheduler: Scheduler, incarnation: int, member: Member, message: Renew) -> None:
+        """Handles a renewal at a member, which forwards it to the leader if it is another member.
+
+        A member that knows of no leader reads the document if its copy is stale.
+        """
+        leadership = member.leader.leadership()
+        leader_name = None if leadership is None else leadership.member
+        leader = next((each for each in self.members if each.name == leader_name), None)
+
+        def replier(replying_member: Member) -> Callable[[RenewalReply], None]:
+            def reply_to_scheduler(reply: RenewalReply) -> None:
+                if scheduler.incarnation == incarnation:
+                    self.send(replying_member, scheduler, lambda: scheduler.handle_reply(reply))
+
+            return reply_to_scheduler
+
+        if member.leader.is_leader():
+            member.leader.handle_renewal(member.now(), message, replier(member))
+        elif leader is not None and leader is not member:
+            self.send(
                 member,
-                keeper,
+                leader,
                 lambda: (
-                    keeper.keeper.handle_renewal(keeper.now(), message, answer(keeper))
-                    if keeper.keeper.is_leader()
+                    leader.leader.handle_renewal(leader.now(), message, replier(leader))
+                    if leader.leader.is_leader()
                     else None
                 ),
             )
-        elif member.keeper.document.revision < self.document.revision:
-            self.read(member, lambda: None)
+        elif member.leader.document.revision < self.document.revision:
+            self.read_document(member, lambda: None)
 
-    def majority(self, member: Member) -> bool:
-        there = [each for each in self.members if each.up and not (each.cut or each.stopped or each.lonely)]
-        return not (member.cut or member.lonely) and len(there) >= 2
+    def has_majority(self, member: Member) -> bool:
+        """Returns whether a member reaches a majority of the three members."""
+        reachable = [
+            each for each in self.members if each.up and not (each.cut or each.stopped or each.isolated)
+        ]
+        return not (member.cut or member.isolated) and len(reachable) >= 2
 
-    def read(self, member: Member, then: Callable[[], None]) -> None:
-        begun = member.now()
+    def read_document(self, member: Member, then: Callable[[], None]) -> None:
+        """Reads the document for a member, then calls `then`; without a majority, polls again later."""
+        sent_at = member.now()
 
-        def at() -> None:
-            document, can = self.document, self.majority(member)
+        def read() -> None:
+            document, has_majority = self.document, self.has_majority(member)
 
-            def heard() -> None:
-                if can:
-                    member.keeper.handle_read(member.now(), begun, document)
-                    if member.keeper.is_leader():
+            def receive() -> None:
+                if has_majority:
+                    member.leader.handle_read(member.now(), sent_at, document)
+                    if member.leader.is_leader():
                         for each in self.members:
-                            self.tell(
-                                member, each, lambda to=each: to.keeper.record_read(to.now(), member.name)
+                            self.send(
+                                member, each, lambda to=each: to.leader.record_read(to.now(), member.name)
                             )
                     then()
                 else:
-                    member.call(25.0, member.turn)
+                    member.call_later(25.0, member.poll)
+
+            member.call_later(self.delay_ms() / 2, receive)
 
-            member.call(self.delay() / 2, heard)
+        self.event_queue.schedule_after(self.delay_ms() / 2, read)
 
-        self.agenda.schedule_after(self.delay() / 2, at)
+    def change_document(self, member: Member, txn: Transaction) -> None:
+        """Applies a member's transaction to the document, if it has a majority and the conditions hold."""
 
-    def change(self, member: Member, txn: Transaction) -> None:
-        def at() -> None:
-            can = self.majority(member)
+        def commit() -> None:
+            has_majority = self.has_majority(member)
             before = self.document
-            after = before.apply(txn) if can else None
+            after = before.apply(txn) if has_majority else None
             self.document = before if after is None else after
-            self.note(before)
+            self.record_state_changes(before)
             document = self.document
 
-            def heard() -> None:
-                if can:
-                    member.keeper.handle_change(member.now(), document)
-                member.call(25.0, member.turn)
+            def receive() -> None:
+                if has_majority:
+                    member.leader.handle_change(member.now(), document)
+                member.call_later(25.0, member.poll)
 
-            member.call(self.delay() / 2, heard)
+            member.call_later(self.delay_ms() / 2, receive)
 
-        self.agenda.schedule_after(self.delay() / 2, at)
+        self.event_queue.schedule_after(self.delay_ms() / 2, commit)
 
-    def note(self, before: Document) -> None:
+    def record_state_changes(self, before: Document) -> None:
+        """Records the zones whose state differs from the document before."""
         old, new = read_fleet_zones(before), read_fleet_zones(self.document)
         for zone, state in new.zones.items():
             if old.get_zone(zone) != state:
-                self.states.append((self.agenda.now_ms, zone, state.state))
+                self.state_changes.append((self.event_queue.now_ms, zone, state.state))
 
     # -- job workers
 
-    def job(
+    def send_attempt(
         self,
         scheduler: Scheduler,
         worker: Worker,
         key: tuple[str, int],
-        who: tuple[str, float, bool],
-        lease: bool | None,
+        feeding: tuple[str, float, bool],
+        has_lease: bool | None,
     ) -> None:
-        """who: whose part of a cold worker's budget it takes, how much of a part, and whether by a deal;
-        lease: None where no part of it is taken knowingly."""
-        delay = self.delay()
-        self.agenda.schedule_after(
-            delay, self.arrive, scheduler, scheduler.life, worker, key, who, lease, worker.started
+        """Sends a job to a worker.
+
+        feeding: the name under which the sender uses the worker's slow-start budget, which part of a feeder's
+        share it may use, and whether it is an assigned feeder. has_lease: of the sender; None if it does not
+        know that the worker is in slow start.
+        """
+        delay_ms = self.delay_ms()
+        self.event_queue.schedule_after(
+            delay_ms,
+            self.arrive_at_worker,
+            scheduler,
+            scheduler.incarnation,
+            worker,
+            key,
+            feeding,
+            has_lease,
+            worker.started_at_ms,
         )
 
-    def arrive(
+    def arrive_at_worker(
         self,
         scheduler: Scheduler,
-        life: int,
+        incarnation: int,
         worker: Worker,
         key: tuple[str, int],
-        who: tuple[str, float, bool],
-        lease: bool | None,
-        began: float,
+        feeding: tuple[str, float, bool],
+        has_lease: bool | None,
+        worker_started_at_ms: float,
     ) -> None:
-        now = self.agenda.now_ms
-        cold = worker.started > 0 and now < worker.started + self.cold
-        # What set out before this life, or by a list that does not show it, is no feeding of ours.
-        if lease is not None and began == worker.started and cold and worker.how == "up":
-            self.fed[worker.number, worker.started].append((now, who, lease))
-        if worker.how == "down":
-            self.into[worker.zone] += 1
-
-        def ended(result: str) -> Callable[[], None]:
-            def tell() -> None:
-                scheduler.ask(scheduler.local.attempt_ended(scheduler.now(), worker.number, key, result))
-
-            return tell
-
-        if scheduler.life != life or worker.how == "silent" or scheduler.cut:
+        """Handles a job at its worker, by the worker's mode, and schedules the reply to the scheduler."""
+        now_ms = self.event_queue.now_ms
+        is_warming_up = worker.started_at_ms > 0 and now_ms < worker.started_at_ms + self.slow_start_ms
+        # A job that was sent before the worker's restart, or without knowledge of it, does not count.
+        if (
+            has_lease is not None
+            and worker_started_at_ms == worker.started_at_ms
+            and is_warming_up
+            and worker.mode == "up"
+        ):
+            self.feedings[worker.number, worker.started_at_ms].append((now_ms, feeding, has_lease))
+        if worker.mode == "down":
+            self.arrivals_while_down[worker.zone] += 1
+
+        def attempt_end(result: str) -> Callable[[], None]:
+            def report() -> None:
+                scheduler.probe_workers(
+                    scheduler.agent.attempt_ended(scheduler.now(), worker.number, key, result)
+                )
+
+            return report
+
+        if scheduler.incarnation != incarnation or worker.mode == "silent" or scheduler.cut:
             return
-        if worker.how in ("down", "failing"):
-            scheduler.call(self.delay(), ended("error" if worker.how == "failing" else "unreachable"))
+        if worker.mode in ("down", "failing"):
+            scheduler.call_later(
+                self.delay_ms(), attempt_end("error" if worker.mode == "failing" else "unreachable")
+            )
             return
-        late = 2000.0 if worker.how == "slow" else 0.0
-        scheduler.call(
-            late + self.delay(),
-            lambda: scheduler.local.evidence_collector.attempt_accepted(scheduler.now(), worker.number, key),
+        extra_delay_ms = 2000.0 if worker.mode == "slow" else 0.0
+        scheduler.call_later(
+            extra_delay_ms + self.delay_ms(),
+            lambda: scheduler.agent.evidence_collector.attempt_accepted(scheduler.now(), worker.number, key),
         )
-        scheduler.call(late + 400.0 + self.delay(), ended("ok"))
+        scheduler.call_later(extra_delay_ms + 400.0 + self.delay_ms(), attempt_end("ok"))
 
     def probe(self, scheduler: Scheduler, number: int) -> None:
+        """Probes a worker for a scheduler; a failing worker still answers probes."""
         worker = next(each for each in self.workers if each.number == number)
 
-        def heard() -> None:
-            result = "ok" if worker.how in ("up", "failing") and not scheduler.cut else "unreachable"
-            scheduler.ask(scheduler.local.probe_finished(scheduler.now(), number, result))
+        def receive() -> None:
+            result = "ok" if worker.mode in ("up", "failing") and not scheduler.cut else "unreachable"
+            scheduler.probe_workers(scheduler.agent.probe_finished(scheduler.now(), number, result))
 
-        scheduler.call(2 * self.delay(), heard)
+        scheduler.call_later(2 * self.delay_ms(), receive)
 
     # -- faults
 
-    def lose(self, zone: str, at: float, lasts: float, how: str) -> None:
-        """A zone's workers fail together, and are back cold."""
+    def lose_zone(self, zone: str, at_ms: float, lasts_ms: float, mode: str) -> None:
+        """Sets all workers of a zone to a mode for a time; workers that were down restart in slow start."""
         for worker in [each for each in self.workers if each.zone == zone]:
-            self.agenda.schedule_at(at, setattr, worker, "how", how)
-            self.agenda.schedule_at(at + lasts, setattr, worker, "how", "up")
-            if how == "down":
-                self.agenda.schedule_at(at + lasts, setattr, worker, "started", at + lasts)
-
-    def faults(self, until: float, count: int) -> None:
-        """Processes that are stopped, cut off or started anew, at random."""
+            self.event_queue.schedule_at(at_ms, setattr, worker, "mode", mode)
+            self.event_queue.schedule_at(at_ms + lasts_ms, setattr, worker, "mode", "up")
+            if mode == "down":
+                self.event_queue.schedule_at(
+                    at_ms + lasts_ms, setattr, worker, "started_at_ms", at_ms + lasts_ms
+                )
+
+    def add_faults(self, until_ms: float, count: int) -> None:
+        """Draws processes that are stopped, cut off or restarted, for 0.2 to 6 s each."""
         for _ in range(count):
-            at, lasts = self.random.uniform(1000, until), self.random.uniform(200, 6000)
+            at_ms, lasts_ms = self.random.uniform(1000, until_ms), self.random.uniform(200, 6000)
             process = self.random.choice([*self.members, *self.schedulers])
             kind = self.random.choice(("stop", "cut", "restart", "slow stop"))
             if kind == "cut":
-                self.agenda.schedule_at(at, setattr, process, "cut", True)
-                self.agenda.schedule_at(at + lasts, setattr, process, "cut", False)
+                self.event_queue.schedule_at(at_ms, setattr, process, "cut", True)
+                self.event_queue.schedule_at(at_ms + lasts_ms, setattr, process, "cut", False)
             elif kind == "restart":
-                self.agenda.schedule_at(at, self.restart, process, lasts)
+                self.event_queue.schedule_at(at_ms, self.restart, process, lasts_ms)
             else:
-                self.agenda.schedule_at(at, setattr, process, "stopped", True)
-                self.agenda.schedule_at(at + lasts, process.go_on)
+                self.event_queue.schedule_at(at_ms, setattr, process, "stopped", True)
+                self.event_queue.schedule_at(at_ms + lasts_ms, process.resume)
 
-    def faults_in_return(self, begin: float, until: float, count: int) -> None:
-        """Long ones, while cold workers are fed by those to whom they are dealt."""
+    def add_return_faults(self, begin_ms: float, until_ms: float, count: int) -> None:
+        """Draws faults of 1 to 14 s during a return, while workers in slow start have assigned feeders."""
         for _ in range(count):
-            at, lasts = self.random.uniform(begin, until), self.random.uniform(1000, 14_000)
-            kind = self.random.choice(("stop", "stop", "cut", "restart", "lonely"))
+            at_ms, lasts_ms = self.random.uniform(begin_ms, until_ms), self.random.uniform(1000, 14_000)
+            kind = self.random.choice(("stop", "stop", "cut", "restart", "isolated"))
             process = self.random.choice(
-                self.members if kind == "lonely" else [*self.members, *self.schedulers, *self.schedulers]
+                self.members if kind == "isolated" else [*self.members, *self.schedulers, *self.schedulers]
             )
             if kind == "restart":
-                self.agenda.schedule_at(at, self.restart, process, min(lasts, 2000.0))
+                self.event_queue.schedule_at(at_ms, self.restart, process, min(lasts_ms, 2000.0))
             elif kind == "stop":
-                self.agenda.schedule_at(at, setattr, process, "stopped", True)
-                self.agenda.schedule_at(at + lasts, process.go_on)
+                self.event_queue.schedule_at(at_ms, setattr, process, "stopped", True)
+                self.event_queue.schedule_at(at_ms + lasts_ms, process.resume)
             else:
-                self.agenda.schedule_at(at, setattr, process, kind, True)
-                self.agenda.schedule_at(at + lasts, setattr, process, kind, False)
+                self.event_queue.schedule_at(at_ms, setattr, process, kind, True)
+                self.event_queue.schedule_at(at_ms + lasts_ms, setattr, process, kind, False)
 
-    def restart(self, process: Process, lasts: float) -> None:
-        process.up, process.missed = False, []
-        process.life += 1
-        life = process.life
+    def restart(self, process: Process, down_ms: float) -> None:
+        """Ends a process and starts it again after a time."""
+        process.up, process.deferred_calls = False, []
+        process.incarnation += 1
+        incarnation = process.incarnation
 
         def start() -> None:
-            if process.life == life:
+            if process.incarnation == incarnation:
                 process.up, process.stopped = True, False
-                process.begin()
+                process.start()
+
+        self.event_queue.schedule_after(down_ms, start)
 
-        self.agenda.schedule_after(lasts, start)
+    # -- rules
 
-    # -- what must hold
+    def find_violations(self, lost_zones: dict[str, tuple[float, float]], until_ms: float) -> list[str]:
+        """Returns a line for each violation of a rule.
 
-    def check(self, lost: dict[str, tuple[float, float]], until: float) -> list[str]:
-        """What is wrong, a line each."""
-        wrong = []
-        for (worker, _), fed in self.fed.items():
-            fed.sort()
-            for place, (at, _, _) in enumerate(fed):
-                window = [each for each in fed[: place + 1] if each[0] > at - FALL_MS]
+        lost_zones: by zone, begin and end of its failure, in ms; it may be left until 9 s after the end.
+        """
+        violations = []
+        for (worker, _), feedings in self.feedings.items():
+            feedings.sort()
+            for index, (at_ms, _, _) in enumerate(feedings):
+                window = [each for each in feedings[: index + 1] if each[0] > at_ms - OVERLOAD_WINDOW_MS]
                 parts: dict[str, float] = {}
-                for _, (who, part, _), _ in window:
-                    parts[who] = max(part, parts.get(who, 0.0))
-                dealt = {who for _, (who, _, by_deal), _ in window if by_deal}
-                alone = {who for _, (who, _, _), lease in window if not lease}
-                # By deals k parts; with those by the hash of all positions just before, one and a half times
-                # k.
-                if len(dealt) > FEEDERS or sum(parts.values()) > 1.5 * FEEDERS or len(alone) > 1:
-                    wrong.append(
-                        f"{at:.0f}: worker {worker} fed by {sorted(parts.items())}, {sorted(alone)} alone"
+                for _, (feeder, part, _), _ in window:
+                    parts[feeder] = max(part, parts.get(feeder, 0.0))
+                assigned = {feeder for _, (feeder, _, is_assigned), _ in window if is_assigned}
+                without_lease = {feeder for _, (feeder, _, _), has_lease in window if not has_lease}
+                # Assigned feeders may use FEEDER_COUNT parts. Together with the default feeders just before
+                # the assignment, one and a half times as many parts may be used in a window.
+                if (
+                    len(assigned) > FEEDER_COUNT
+                    or sum(parts.values()) > 1.5 * FEEDER_COUNT
+                    or len(without_lease) > 1
+                ):
+                    violations.append(
+                        f"{at_ms:.0f}: worker {worker} fed by {sorted(parts.items())}, "
+                        f"{sorted(without_lease)} alone"
                     )
                     break
-        for at, zone, state in self.states:
+        for at_ms, zone, state in self.state_changes:
             if state == "leaving" and not any(
-                name == zone and begun <= at <= ended + 9000.0 for name, (begun, ended) in lost.items()
+                name == zone and begin_ms <= at_ms <= end_ms + 9000.0
+                for name, (begin_ms, end_ms) in lost_zones.items()
             ):
-                wrong.append(f"{at:.0f}: {zone} was left, which had not failed")
-        return wrong
+                violations.append(f"{at_ms:.0f}: {zone} was left, which had not failed")
+        return violations
 
 
 def run_world(seed: int, bugs: tuple[str, ...] = (), faults: int = 12, aim: str = "") -> dict[str, Any]:
-    """One world with a zone lost, and what is wrong with it; aim: "return"."""
+    """Runs one world that loses the zone galway, and returns its row.
+
+    aim: "return" draws the faults during the return only. Times in the row are in ms: left_after and followed
+    from the loss to the states leaving and left, opened from the end of the failure to the state open.
+    """
     if aim:
-        draw = random.Random(f"{aim} {seed}")
-        lease, until = draw.choice((2000.0, 5000.0, 9000.0)), 120_000.0
-        world = World(seed, bugs, lease=lease, cold=25_000.0)
-        at, lasts, how = draw.uniform(4000, 6000), draw.uniform(2500, 5000), "down"
-        world.aimed = "galway"
-        world.faults_in_return(at + lasts, at + lasts + 25_000.0, faults)
+        rng = random.Random(f"{aim} {seed}")
+        lease_ms, until_ms = rng.choice((2000.0, 5000.0, 9000.0)), 120_000.0
+        world = World(seed, bugs, lease_ms=lease_ms, slow_start_ms=25_000.0)
+        at_ms, lasts_ms, mode = rng.uniform(4000, 6000), rng.uniform(2500, 5000), "down"
+        world.busy_zone = "galway"
+        world.add_return_faults(at_ms + lasts_ms, at_ms + lasts_ms + 25_000.0, faults)
     else:
-        world, until = World(seed, bugs), 60_000.0
-        at, lasts = world.random.uniform(4000, 8000), world.random.uniform(2500, 9000)
-        how = world.random.choice(("down", "down", "silent", "failing", "slow"))
-        world.faults(30_000.0, faults)
-    world.lose("galway", at, lasts, how)
-    world.agenda.run_until(until)
-    wrong = world.check({"galway": (at, at + lasts)}, until)
-    mine = [(when, state) for when, zone, state in world.states if zone == "galway"]
-    left = next((when - at for when, state in mine if state == "leaving"), None)
-    last = mine[-1][1] if mine else "open"
+        world, until_ms = World(seed, bugs), 60_000.0
+        at_ms, lasts_ms = world.random.uniform(4000, 8000), world.random.uniform(2500, 9000)
+        mode = world.random.choice(("down", "down", "silent", "failing", "slow"))
+        world.add_faults(30_000.0, faults)
+    world.lose_zone("galway", at_ms, lasts_ms, mode)
+    world.event_queue.run_until(until_ms)
+    violations = world.find_violations({"galway": (at_ms, at_ms + lasts_ms)}, until_ms)
+    changes = [(when, state) for when, zone, state in world.state_changes if zone == "galway"]
+    left_after_ms = next((when - at_ms for when, state in changes if state == "leaving"), None)
+    last_state = changes[-1][1] if changes else "open"
     return {
         "seed": seed,
-        "how": how,
-        "missed": left is None,
-        "wrong": wrong,
-        "left_after": left,
-        "last": last,
-        "lasts": lasts,
-        "followed": next((when - at for when, state in mine if state == "left"), None),
-        "opened": next((when - at - lasts for when, state in reversed(mine) if state == "open"), None),
+        "how": mode,
+        "missed": left_after_ms is None,
+        "wrong": violations,
+        "left_after": left_after_ms,
+        "last": last_state,
+        "lasts": lasts_ms,
+        "followed": next((when - at_ms for when, state in changes if state == "left"), None),
+        "opened": next(
+            (when - at_ms - lasts_ms for when, state in reversed(changes) if state == "open"), None
+        ),
     }
 
 
-def _play(given: tuple[int, tuple[str, ...], int, str]) -> dict[str, Any]:
-    return run_world(*given)
+def _run_world(arguments: tuple[int, tuple[str, ...], int, str]) -> dict[str, Any]:
+    return run_world(*arguments)
 
 
 @click.command()
@@ -582,27 +695,29 @@
 @click.option("--aim", type=click.Choice(["", "return"]), default="")
 @click.option("--bug", "bugs", multiple=True, type=click.Choice(BUGS))
 def main(seeds: int, begin: int, faults: int, aim: str, bugs: tuple[str, ...]) -> None:
+    """Runs a world for each seed and prints violations and the distribution of the times."""
     with ProcessPoolExecutor() as pool:
-        given = [(seed, bugs, faults, aim) for seed in range(begin, begin + seeds)]
-        rows = list(pool.map(_play, given, chunksize=4))
-    bad = [row for row in rows if row["wrong"]]
-    for row in bad[:10]:
+        arguments = [(seed, bugs, faults, aim) for seed in range(begin, begin + seeds)]
+        rows = list(pool.map(_run_world, arguments, chunksize=4))
+    failed = [row for row in rows if row["wrong"]]
+    for row in failed[:10]:
         click.echo(f"seed {row['seed']} ({row['how']}): {row['wrong'][0]}")
-    left = sorted(row["left_after"] for row in rows if row["left_after"] is not None)
-    opened = sorted(row["opened"] for row in rows if row["opened"] is not None)
-    for how, lasts in sorted((row["how"], row["lasts"]) for row in rows if row["missed"]):
-        click.echo(f"not left: {how} for {lasts:.0f} ms")
-    for how in sorted({row["how"] for row in rows}):
-        some = sorted(row["left_after"] for row in rows if row["how"] == how and not row["missed"])
-        click.echo(f"{how}: left after {_told(some)} ms")
+    left_after_ms = sorted(row["left_after"] for row in rows if row["left_after"] is not None)
+    opened_after_ms = sorted(row["opened"] for row in rows if row["opened"] is not None)
+    for mode, lasts_ms in sorted((row["how"], row["lasts"]) for row in rows if row["missed"]):
+        click.echo(f"not left: {mode} for {lasts_ms:.0f} ms")
+    for mode in sorted({row["how"] for row in rows}):
+        times_ms = sorted(row["left_after"] for row in rows if row["how"] == mode and not row["missed"])
+        click.echo(f"{mode}: left after {_format_quantiles(times_ms)} ms")
     click.echo(
-        f"{len(rows)} worlds, {len(bad)} with a rule broken; {len(left)} left the zone, after "
-        f"{_told(left)} ms; {len(opened)} opened it again, {_told(opened)} ms after its return; "
+        f"{len(rows)} worlds, {len(failed)} with a rule broken; {len(left_after_ms)} left the zone, after "
+        f"{_format_quantiles(left_after_ms)} ms; {len(opened_after_ms)} opened it again, "
+        f"{_format_quantiles(opened_after_ms)} ms after its return; "
         f"at the end {dict(Counter(row['last'] for row in rows))}"
     )
 
 
-def _told(values: list[float]) -> str:
+def _format_quantiles(values: list[float]) -> str:
     if not values:
         return "-"
     return f"{values[len(values) // 2]:.0f} (p50), {values[int(len(values) * 0.99)]:.0f} (p99)"
