--- a/measure/fleetday.py
+++ b/measure/fleetday.py
@@ -1,7 +1,8 @@
-"""Counts over a whole fleet from what its schedulers wrote in one day.
+"""Counts ejections of workers and starts of schedulers over a whole fleet, from one day's logs.
 
-Reads each scheduler's own lines: when it began to serve (again), and which job workers it set aside, and why.
-A line may begin with its time in seconds of the day.
+Each *.log file of a folder is the log of one scheduler. Counted are the lines that say that it serves clients
+(again), and those that say that it ejected a worker, by reason. A line may begin with its time, in seconds of
+the day; a line without one counts at 0.
 
     .venv/bin/python -m measure.fleetday FOLDER_OF_LOGS --step 5
 """
@@ -15,55 +16,60 @@
 
 import click
 
-ASIDE = re.compile(r"^(?:(\d+\.\d+) )?.*worker (\d+) set aside: (\w+), strike (\d+)")
-SERVES = re.compile(r"^(?:(\d+\.\d+) )?spanwing: clients on ")
+EJECTED = re.compile(r"^(?:(\d+\.\d+) )?.*worker (\d+) set aside: (\w+), strike (\d+)")
+SERVING = re.compile(r"^(?:(\d+\.\d+) )?spanwing: clients on ")
 REASONS = ("silent", "timeout", "error", "reset", "unreachable")
 
 
-class Day:
-    """What was counted, by step of the day."""
+class LogCounts:
+    """The counts of all logs, by step of the day."""
 
-    def __init__(self, step: float) -> None:
-        self.step = step
-        self.aside: dict[int, Counter[str]] = defaultdict(Counter)
-        self.struck: dict[str, Counter[str]] = defaultdict(Counter)  # by reason: how often each worker
-        self.served: list[float] = []
-        self.schedulers = 0
+    def __init__(self, step_s: float) -> None:
+        self.step_s = step_s
+        self.ejections_by_step: dict[int, Counter[str]] = defaultdict(Counter)  # by reason
+        self.ejections_by_reason: dict[str, Counter[str]] = defaultdict(Counter)  # by worker
+        self.serving_since_s: list[float] = []
+        self.scheduler_count = 0
 
-    def read(self, lines: Iterable[str]) -> None:
-        """The lines of one scheduler."""
-        self.schedulers += 1
+    def add_log(self, lines: Iterable[str]) -> None:
+        """Adds the log of one scheduler."""
+        self.scheduler_count += 1
         for line in lines:
-            if found := ASIDE.match(line):
-                at, worker, why, _ = found.groups()
-                self.aside[int(float(at or 0.0) // self.step)][why] += 1
-                self.struck[why][worker] += 1
-            elif found := SERVES.match(line):
-                self.served.append(float(found.group(1) or 0.0))
+            if match := EJECTED.match(line):
+                at_s, worker, reason, _ = match.groups()
+                self.ejections_by_step[int(float(at_s or 0.0) // self.step_s)][reason] += 1
+                self.ejections_by_reason[reason][worker] += 1
+            elif match := SERVING.match(line):
+                self.serving_since_s.append(float(match.group(1) or 0.0))
 
     def table(self) -> str:
-        """As Markdown."""
+        """Returns the counts as a Markdown table, a row for each step and one for the whole day."""
         rows = [f"| from s | {' | '.join(REASONS)} | began to serve |", f"|{' --- |' * (len(REASONS) + 2)}"]
-        last = max([*self.aside, *(int(at // self.step) for at in self.served), 0])
-        for place in range(last + 1):
-            served = sum(int(at // self.step) == place for at in self.served)
-            counts = " | ".join(str(self.aside[place][why]) for why in REASONS)
-            rows.append(f"| {place * self.step:g} | {counts} | {served} |")
+        last_step = max(
+            [*self.ejections_by_step, *(int(at_s // self.step_s) for at_s in self.serving_since_s), 0]
+        )
+        for step in range(last_step + 1):
+            start_count = sum(int(at_s // self.step_s) == step for at_s in self.serving_since_s)
+            counts = " | ".join(str(self.ejections_by_step[step][reason]) for reason in REASONS)
+            rows.append(f"| {step * self.step_s:g} | {counts} | {start_count} |")
         totals = " | ".join(
-            f"{sum(self.struck[why].values())} of {len(self.struck[why])} workers" for why in REASONS
+            f"{sum(self.ejections_by_reason[reason].values())} of "
+            f"{len(self.ejections_by_reason[reason])} workers"
+            for reason in REASONS
         )
-        rows.append(f"| all | {totals} | {len(self.served)} of {self.schedulers} schedulers |")
+        rows.append(f"| all | {totals} | {len(self.serving_since_s)} of {self.scheduler_count} schedulers |")
         return "\n".join(rows)
 
 
 @click.command()
 @click.argument("folder", type=click.Path(exists=True, file_okay=False, path_type=Path))
-@click.option("--step", default=5.0, show_default=True, help="seconds of the day in a row")
+@click.option("--step", default=5.0, show_default=True, help="Seconds of the day in one row.")
 def main(folder: Path, step: float) -> None:
-    day = Day(step)
+    """Prints the table of a folder of logs."""
+    log_counts = LogCounts(step)
     for file in sorted(folder.glob("*.log")):
-        day.read(file.read_text(errors="replace").splitlines())
-    click.echo(day.table())
+        log_counts.add_log(file.read_text(errors="replace").splitlines())
+    click.echo(log_counts.table())
 
 
 if __name__ == "__main__":
--- a/tests/test_fleetday.py
+++ b/tests/test_fleetday.py
@@ -1,14 +1,14 @@
-"""The count over a fleet's logs."""
+"""The counts over the logs of a fleet."""
 
 import unittest
 
-from measure.fleetday import Day
+from measure.fleetday import LogCounts
 
 
-class Counted(unittest.TestCase):
-    def test_strikes_are_counted_by_step_reason_and_worker(self) -> None:
-        day = Day(5.0)
-        day.read(
+class LogCountsTests(unittest.TestCase):
+    def test_ejections_are_counted_by_step_reason_and_worker(self) -> None:
+        log_counts = LogCounts(5.0)
+        log_counts.add_log(
             [
                 "0.3 spanwing: clients on 10.0.0.1:8080",
                 "noise",
@@ -16,10 +16,12 @@
                 "6.2 INFO worker 7 set aside: error, strike 2",
             ]
         )
-        day.read(["7.0 INFO worker 8 set aside: silent, strike 1", "11.0 spanwing: clients on 10.0.0.2:8080"])
-        table = day.table().splitlines()
+        log_counts.add_log(
+            ["7.0 INFO worker 8 set aside: silent, strike 1", "11.0 spanwing: clients on 10.0.0.2:8080"]
+        )
+        rows = log_counts.table().splitlines()
         self.assertEqual(
-            table[2:],
+            rows[2:],
             [
                 "| 0 | 0 | 0 | 0 | 0 | 0 | 1 |",
                 "| 5 | 2 | 0 | 1 | 0 | 0 | 0 |",
