--- a/measure/zoneday.py
+++ b/measure/zoneday.py
@@ -1,11 +1,21 @@
-"""What a lost zone costs a fleet of the model, and how its return goes: counts over many seeds.
+"""Measures what a lost zone costs a simulated fleet, and how its return goes, over many seeds.
 
     .venv/bin/python -m measure.zoneday --seeds 20 --way together --json table.json
 
-Of one day it counts: sends into the zone after its loss, when each surviving scheduler sent there last, jobs
-by class and fate, work sent to each returning worker against its budget in every window, and when the zone
-does again what it did before its loss. Budget: fall_multiple times the worker's capacity at that moment, for
-fall_ms.
+The figures of one day:
+
+- into: attempts sent to workers of the zone while it was lost.
+- first_ms, last_ms: of the times, since the loss, at which each scheduler last sent an attempt there, the
+  first and the last.
+- `CLASS OUTCOME`, `all OUTCOME`: jobs by class and outcome; worth, worth in time: sums of priority weights.
+- over: arrivals at a returning worker that exceeded its budget in an overload window; most: the largest share
+  of a budget that was used. The budget is overload_multiple times the worker's capacity at that moment, for
+  overload_window_ms.
+- falls: workers of the zone that went down after the return.
+- whole_ms: the time from the return until the zone works again as before its loss.
+- decided_ms, returning_ms, open_ms: from the loss to the decision to leave, and from the return to the states
+  returning and open; left: decisions to leave a zone; false_alarms: those about zones without a fault.
+- messages_s, bytes_s: renewals, and bytes of evidence in them, a second.
 """
 
 from __future__ import annotations
@@ -27,21 +37,22 @@
 from spanwing.simulation.scheduler import SimulatedScheduler
 from spanwing.simulation.zone_fleet import LeaderFleet, StandaloneFleet
 
-BEFORE_S = 4.0  # the zone's work in this time before its loss is what it did
-WHOLE = 0.9  # of that work again: whole capacity
-STEP_MS = 250.0
-AFTER_S = 8.0  # requests that come up to so long after the return are counted
+BASELINE_S = 4.0  # the zone's rate of work in this time before its loss is the baseline
+RECOVERED_SHARE = 0.9  # of the baseline: the zone works again as before
+SAMPLE_MS = 250.0
+OUTCOMES_AFTER_RETURN_S = 8.0  # jobs that are sent up to this long after the return are counted
 
 
-class Watched(FleetSimulation):
-    """A fleet that counts what goes to one zone."""
+class MeasuredFleet(FleetSimulation):
+    """A simulated fleet that counts what is sent to one zone and what the zone works."""
 
     def __init__(self, *given: Any, zone: str, lost_ms: float, back_ms: float, **more: Any) -> None:
+        """zone: the zone to measure; lost_ms, back_ms: when it is lost and when it returns."""
         self.zone, self.lost_ms, self.back_ms = zone, lost_ms, back_ms
-        self.into, self.last = 0, dict[str, float]()
-        self.windows: dict[int, deque[tuple[float, float]]] = {}
-        self.over, self.most, self.falls = 0, 0.0, 0
-        self.done: list[tuple[float, float]] = []
+        self.sent_while_lost, self.last_sent_ms = 0, dict[str, float]()
+        self.windows: dict[int, deque[tuple[float, float]]] = {}  # by worker: arrival in ms, work in ms
+        self.over_budget_count, self.max_budget_usage, self.went_down_count = 0, 0.0, 0
+        self.work_samples: list[tuple[float, float]] = []  # time in ms, work of the zone until then
         super().__init__(*given, **more)
 
     def send_attempt(
@@ -49,8 +60,8 @@
     ) -> None:
         now, host = self.event_queue.now_ms, self.worker_hosts.get(worker_id)
         if host is not None and host.worker.spec.zone == self.zone and self.lost_ms <= now < self.back_ms:
-            self.into += 1
-            self.last[scheduler.name] = now
+            self.sent_while_lost += 1
+            self.last_sent_ms[scheduler.name] = now
         super().send_attempt(scheduler, request_id, attempt_number, worker_id)
 
     def _arrive_at_worker(
@@ -75,126 +86,141 @@
             while window[0][0] <= now - spec.overload_window_ms:
                 window.popleft()
             capacity = min(spec.cores, spec.slots) * spec.speed * worker.capacity_fraction()
-            used = sum(work for _, work in window) / (
+            usage = sum(work for _, work in window) / (
                 spec.overload_multiple * capacity * spec.overload_window_ms
             )
-            self.most = max(self.most, used)
-            self.over += used > 1.0 and len(window) > 1  # one job alone may be larger than the budget
+            self.max_budget_usage = max(self.max_budget_usage, usage)
+            self.over_budget_count += usage > 1.0 and len(window) > 1  # a single job may exceed it
         super()._arrive_at_worker(scheduler, request_id, attempt_number, host, generated)
 
     def worker_went_down(self, host: WorkerHost) -> None:
-        self.falls += host.worker.spec.zone == self.zone and self.event_queue.now_ms >= self.back_ms
+        self.went_down_count += host.worker.spec.zone == self.zone and self.event_queue.now_ms >= self.back_ms
         super().worker_went_down(host)
 
-    def look(self) -> None:
-        """What the zone has worked so far."""
-        done = sum(
-            each.worker.processed_work
-            for each in self.worker_hosts.values()
-            if each.worker.spec.zone == self.zone
+    def sample_work(self) -> None:
+        """Records how much work the zone has done so far."""
+        work = sum(
+            host.worker.processed_work
+            for host in self.worker_hosts.values()
+            if host.worker.spec.zone == self.zone
         )
-        self.done.append((self.event_queue.now_ms, done))
-
-    def whole_after(self) -> float | None:
-        """ms from the return until a second's work of the zone is what it was; None: not on this day."""
-        at = dict(self.done)
-        first = max(each for each in at if each <= self.lost_ms - BEFORE_S * 1000.0)
-        last = max(each for each in at if each <= self.lost_ms)
-        rate = (at[last] - at[first]) / (last - first)
-        for now, done in self.done:
-            before = at.get(now - 4 * STEP_MS)
+        self.work_samples.append((self.event_queue.now_ms, work))
+
+    def recovered_after_ms(self) -> float | None:
+        """Returns the time from the return to the end of the first second of work as before the loss, in ms.
+
+        Returns None if there is none on this day.
+        """
+        work_at = dict(self.work_samples)
+        first_ms = max(each for each in work_at if each <= self.lost_ms - BASELINE_S * 1000.0)
+        last_ms = max(each for each in work_at if each <= self.lost_ms)
+        baseline_rate = (work_at[last_ms] - work_at[first_ms]) / (last_ms - first_ms)
+        for now_ms, work in self.work_samples:
+            work_before = work_at.get(now_ms - 4 * SAMPLE_MS)
             if (
-                now >= self.back_ms + 4 * STEP_MS
-                and before is not None
-                and (done - before >= WHOLE * rate * 4 * STEP_MS)
+                now_ms >= self.back_ms + 4 * SAMPLE_MS
+                and work_before is not None
+                and (work - work_before >= RECOVERED_SHARE * baseline_rate * 4 * SAMPLE_MS)
             ):
-                return now - self.back_ms
+                return now_ms - self.back_ms
         return None
 
 
-class Together(Watched, LeaderFleet):
-    """The same, where the schedulers leave and return as one."""
+class MeasuredLeaderFleet(MeasuredFleet, LeaderFleet):
+    """A measured fleet whose leader decides for all schedulers when a zone is left and returns."""
 
 
-class Solo(Watched, StandaloneFleet):
-    """The same, where each leaves and returns by its own evidence."""
+class MeasuredStandaloneFleet(MeasuredFleet, StandaloneFleet):
+    """A measured fleet in which each scheduler decides on zones by its own evidence."""
 
 
-WAYS = {"none": Watched, "together": Together, "solo": Solo}
+FLEET_BY_WAY = {"none": MeasuredFleet, "together": MeasuredLeaderFleet, "solo": MeasuredStandaloneFleet}
 
 
 def run_day(scenario: str, seed: int, way: str = "none", times: int = 1) -> dict[str, Any]:
-    """One day; times: so many times the schedulers, the workers and the jobs."""
+    """Runs one day of a scenario of the program and returns its figures.
+
+    times: multiplies the schedulers, the workers and the jobs.
+    """
     text = (resources.files("spanwing.simulation") / "scenarios" / f"{scenario}.toml").read_bytes()
     day = msgspec.structs.replace(parse_scenario(text, ErrorCollector()), times=times)
-    loss = next((each for each in day.faults if each.what == "zone_lost"), None)
-    zone, lost, back = "", day.day_ms, day.day_ms  # a day on which no zone may be left
+    loss = next((fault for fault in day.faults if fault.what == "zone_lost"), None)
+    zone, lost_ms, back_ms = "", day.day_ms, day.day_ms  # without a loss: no zone may be left
     if loss is not None:
-        zone, lost, back = loss.zone, loss.at * 1000.0, (loss.at + loss.lasts) * 1000.0
+        zone, lost_ms, back_ms = loss.zone, loss.at * 1000.0, (loss.at + loss.lasts) * 1000.0
     plan = day.build_plan(seed)
-    fates, aims = Counter[str](), {each.name: each for each in plan.classes}
+    counts, classes = Counter[str](), {each.name: each for each in plan.classes}
 
-    def told(answered: AnsweredRequest) -> None:
-        if lost <= answered.asked_at_ms < back + AFTER_S * 1000.0:
-            cls, fate = aims[answered.class_name], answered.outcome
-            if fate == "served":
-                fate = (
+    def count_answer(answered: AnsweredRequest) -> None:
+        if lost_ms <= answered.asked_at_ms < back_ms + OUTCOMES_AFTER_RETURN_S * 1000.0:
+            cls, outcome = classes[answered.class_name], answered.outcome
+            if outcome == "served":
+                outcome = (
                     "in time"
                     if answered.elapsed_ms
                     <= cls.latency_objective_ms + cls.objective_stretch * answered.work_ms
                     else "late"
                 )
-            fates[f"{answered.class_name} {fate}"] += 1
-            fates[f"all {fate}"] += 1
-            fates["worth"] += cls.priority_weight
-            fates["worth in time"] += cls.priority_weight * (fate == "in time")
+            counts[f"{answered.class_name} {outcome}"] += 1
+            counts[f"all {outcome}"] += 1
+            counts["worth"] += cls.priority_weight
+            counts["worth in time"] += cls.priority_weight * (outcome == "in time")
 
     regions = {"regions": {name: tuple(each) for name, each in day.regions.items()}} if way != "none" else {}
-    fleet = WAYS[way](plan, seed, told, zone=zone, lost_ms=lost, back_ms=back, **regions)
+    fleet = FLEET_BY_WAY[way](
+        plan, seed, count_answer, zone=zone, lost_ms=lost_ms, back_ms=back_ms, **regions
+    )
     FaultInjector(fleet, tuple(day.faults), day.day_ms)
-    for step in range(int(day.day_ms / STEP_MS) + 1):
-        fleet.event_queue.schedule_at(step * STEP_MS, fleet.look)
+    for step in range(int(day.day_ms / SAMPLE_MS) + 1):
+        fleet.event_queue.schedule_at(step * SAMPLE_MS, fleet.sample_work)
     fleet.run(day.day_ms)
-    last = sorted(fleet.last.values())
+    last_sent_ms = sorted(fleet.last_sent_ms.values())
     return {
-        "into": fleet.into,
-        "first_ms": last[0] - lost if last else 0.0,
-        "last_ms": last[-1] - lost if last else 0.0,
-        "over": fleet.over,
-        "most": fleet.most,
-        "falls": fleet.falls,
-        "whole_ms": fleet.whole_after() if zone else None,
-        **fates,
-        **_changes(fleet, lost, back, {each.zone for each in day.faults if each.zone}),
+        "into": fleet.sent_while_lost,
+        "first_ms": last_sent_ms[0] - lost_ms if last_sent_ms else 0.0,
+        "last_ms": last_sent_ms[-1] - lost_ms if last_sent_ms else 0.0,
+        "over": fleet.over_budget_count,
+        "most": fleet.max_budget_usage,
+        "falls": fleet.went_down_count,
+        "whole_ms": fleet.recovered_after_ms() if zone else None,
+        **counts,
+        **_zone_changes(fleet, lost_ms, back_ms, {fault.zone for fault in day.faults if fault.zone}),
     }
 
 
-def _changes(fleet: Watched, lost: float, back: float, may: set[str]) -> dict[str, Any]:
-    """When the fleet decided what of the zone, and what it cost; may: zones that are lost this day."""
+def _zone_changes(
+    fleet: MeasuredFleet, lost_ms: float, back_ms: float, faulty_zones: set[str]
+) -> dict[str, Any]:
+    """Returns when the fleet decided what about the zone, and the traffic that this took.
+
+    faulty_zones: zones with a fault on this day.
+    """
     if not isinstance(fleet, LeaderFleet | StandaloneFleet):
         return {}
-    mine = [(at, state) for at, zone, state, _ in fleet.zone_changes if zone == fleet.zone]
-    others = sum(state == "leaving" and zone not in may for _, zone, state, _ in fleet.zone_changes)
+    changes = [(at, state) for at, zone, state, _ in fleet.zone_changes if zone == fleet.zone]
+    false_alarm_count = sum(
+        state == "leaving" and zone not in faulty_zones for _, zone, state, _ in fleet.zone_changes
+    )
     return {
-        "decided_ms": next((at - lost for at, state in mine if state == "leaving"), None),
-        "returning_ms": next((at - back for at, state in mine if state == "returning"), None),
-        "open_ms": next((at - back for at, state in mine if state == "open"), None),
+        "decided_ms": next((at - lost_ms for at, state in changes if state == "leaving"), None),
+        "returning_ms": next((at - back_ms for at, state in changes if state == "returning"), None),
+        "open_ms": next((at - back_ms for at, state in changes if state == "open"), None),
         "left": sum(state == "leaving" for _, _, state, _ in fleet.zone_changes),
-        "false_alarms": others,
+        "false_alarms": false_alarm_count,
         "messages_s": getattr(fleet, "messages", 0) / (fleet.event_queue.now_ms / 1000.0),
         "bytes_s": getattr(fleet, "bytes", 0) / (fleet.event_queue.now_ms / 1000.0),
     }
 
 
 def table(rows: list[dict[str, Any]]) -> str:
-    """Mean, least and most of each figure over the days, as Markdown."""
+    """Returns the mean, the least and the most of each figure over the days as a Markdown table."""
     lines = ["| figure | mean | least | most |", "| --- | --- | --- | --- |"]
     for name in sorted({name for row in rows for name in row}):
-        found = [row.get(name, 0) for row in rows]
-        known = [each for each in found if each is not None]
-        note = f" ({len(found) - len(known)} days never)" if len(known) < len(found) else ""
+        values = [row.get(name, 0) for row in rows]
+        known = [value for value in values if value is not None]
+        note = f" ({len(values) - len(known)} days never)" if len(known) < len(values) else ""
         if known:
-            figures = " | ".join(f"{each:.2f}" for each in (statistics.mean(known), min(known), max(known)))
+            figures = " | ".join(f"{value:.2f}" for value in (statistics.mean(known), min(known), max(known)))
             lines.append(f"| {name}{note} | {figures} |")
     return "\n".join(lines)
 
@@ -204,19 +230,20 @@
 @click.option("--seeds", default=20, show_default=True)
 @click.option(
     "--way",
-    type=click.Choice(sorted(WAYS)),
+    type=click.Choice(sorted(FLEET_BY_WAY)),
     default="none",
     show_default=True,
-    help="together: the schedulers leave and return as one; solo: each by its own evidence.",
+    help="together: a leader decides for all schedulers; solo: each one by its own evidence.",
 )
-@click.option("--times", default=1, show_default=True, help="So many times the fleet.")
-@click.option("--json", "into", type=click.Path(), help="Keep each day's figures there.")
-def main(scenario: str, seeds: int, way: str, times: int, into: str | None) -> None:
+@click.option("--times", default=1, show_default=True, help="Multiplies the size of the fleet.")
+@click.option("--json", "json_path", type=click.Path(), help="Writes each day's figures to this file.")
+def main(scenario: str, seeds: int, way: str, times: int, json_path: str | None) -> None:
+    """Runs a day for each seed and prints the table of their figures."""
     with ProcessPoolExecutor() as pool:
-        many = [scenario] * seeds, range(1, seeds + 1), [way] * seeds, [times] * seeds
-        rows = list(pool.map(run_day, *many))
-    if into:
-        with open(into, "w") as file:
+        arguments = [scenario] * seeds, range(1, seeds + 1), [way] * seeds, [times] * seeds
+        rows = list(pool.map(run_day, *arguments))
+    if json_path:
+        with open(json_path, "w") as file:
             json.dump(rows, file)
     click.echo(table(rows))
 
