--- a/measure/policymodel.py
+++ b/measure/policymodel.py
@@ -1,18 +1,33 @@
-"""Every interleaving, to a depth, of the two deciders of a change of policy: chair and hand.
+"""A model of policy changes, which explores the interleavings of PolicyCoordinator and PolicyParticipant.
 
-    .venv/bin/python -m measure.policymodel --depth 9
-    .venv/bin/python -m measure.policymodel --walks 20000 --depth 60          # at random, far deeper
+    .venv/bin/python -m measure.policymodel --depth 9                         # all interleavings
+    .venv/bin/python -m measure.policymodel --walks 20000 --depth 60          # random walks, far deeper
     .venv/bin/python -m measure.policymodel --walks 20000 --depth 60 --bug stopped
 
-Three schedulers, two members that may keep (a read or change is one moment with a majority, which is what the
-store gives), one proposal at the beginning, or again and again in walks. Steps: a scheduler renews; a renewal
-comes to whom it was sent, or to the other member; a member reads, and answers what had come before; an answer
-comes, or is lost; the keeper makes its next change, or fails to; the other member takes over; a scheduler is
-stopped, continues, is killed, starts anew; time passes. What must hold in each state: once anybody could take
-a job under a version, nobody can take one under an earlier one; and in walks, once faults end, each change
-ends and all that run can take jobs under one version. Deliberate bugs: readiness counts as closed; a permit
-is not looked at after a stop; a decision is told before a majority has it; a start serves before it has
-heard; a permit without being in the register; the operator's word on one life counts for the next.
+The model has three schedulers and two store members, one of which leads. A read or a change of the document
+happens in one instant with a majority, as the store guarantees. One change is proposed at the beginning;
+random walks propose further ones. The steps:
+
+- tick: time passes.
+- renew: a scheduler sends a renewal; come, stray: it reaches the leader, or the other member.
+- read: a member reads the document and replies to the renewals that it has.
+- hear, lose: a scheduler receives the reply, or the reply is lost.
+- decide: the leader makes its next change; unheard: it fails to get a majority for it.
+- take_over: the other member becomes the leader.
+- stop, go_on, kill, start: a scheduler is stopped, continues, is killed, starts again.
+
+After every step: once a job could be accepted under a version anywhere, no scheduler accepts jobs under an
+earlier one. At the end of a random walk, after some rounds without faults: no change is pending, and all
+schedulers accept jobs under the same version.
+
+Planted bugs:
+
+- ready-twice: a change ends as soon as all schedulers are ready, though none has closed.
+- stopped: a scheduler does not check its permit after a stop.
+- told-first: schedulers learn of a change that no majority has.
+- start: a restarted scheduler accepts jobs by its cached policy before any reply.
+- no-register: a scheduler gets a permit without being registered.
+- gone-name: an operator's statement that one incarnation is gone also counts for the next one.
 """
 
 from __future__ import annotations
@@ -41,13 +56,13 @@
 from spanwing.store.document import Document, Transaction
 from spanwing.store.lease import Lease
 
-TICK, AWAY = 1000.0, 2000.0
-KEEPER = "keeper"
+TICK_MS, PERMIT_MS = 1000.0, 2000.0
+LEADER_KEY = "keeper"  # the document's key that holds the index of the leading member
 BUGS = ("ready-twice", "stopped", "told-first", "start", "no-register", "gone-name")
 
 
-class Draw:
-    """Names for changes; of no meaning but that they differ."""
+class IdGenerator:
+    """Returns a new id for each call."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -57,17 +72,21 @@
         return f"t{self.count}"
 
 
-def wall() -> float:
+def wall_clock() -> float:
+    """Returns 0: the model does not use the wall clock."""
     return 0.0
 
 
-def sound(text: str) -> str:
+def accept_every_policy(text: str) -> str:
+    """Returns no objection to a policy."""
     return ""
 
 
-def by_name(coordinator: PolicyCoordinator, now: float, policy: PolicyState, keeper: Any) -> dict[str, str]:
-    """A bug: whoever has the name of one that is gone is gone too."""
-    gone = (
+def possible_holders_by_name(
+    coordinator: PolicyCoordinator, now: float, policy: PolicyState, leader: Any
+) -> dict[str, str]:
+    """The bug gone-name: leaves out all incarnations of a scheduler of which one was reported as gone."""
+    gone_names = (
         {scheduler_name(each) for each in policy.change.removed_sessions}
         if policy.change is not None
         else set()
@@ -75,340 +94,407 @@
     return {
         name: session
         for name, session in policy.register.items()
-        if name not in gone and not coordinator.has_permit_expired(now, session, keeper)
+        if name not in gone_names and not coordinator.has_permit_expired(now, session, leader)
     }
 
 
 @dataclass
 class Session:
+    """What a member knows of one incarnation of a scheduler."""
+
     confirmed_at_ms: float = float("-inf")
     acknowledged_revision: int = 0
 
 
 @dataclass
-class Request:
+class Renewal:
+    """A renewal on its way to a member, or at one that has not read since."""
+
     session: str
-    n: int
-    seen: int
-    says: PolicyVote
-    came: int = -1  # the member to which it has come; -1: under way
+    message_id: int
+    revision_seen: int
+    vote: PolicyVote
+    member_index: int = -1  # the member that has received it; -1: on its way
 
 
 @dataclass
-class Answer:
-    n: int
+class Reply:
+    """A reply to a renewal on its way to a scheduler."""
+
+    message_id: int
     document: Document
-    permit: bool
+    grants_permit: bool
 
 
 @dataclass
 class Member:
+    """A member of the store."""
+
     coordinator: PolicyCoordinator
     leading_since_ms: float = 0.0
     sessions: dict[str, Session] = field(default_factory=dict)
     document: Document = Document()
-    told: Document | None = None  # what it tells before it has taken hold (a bug)
+    unconfirmed_document: Document | None = None
 
 
 @dataclass
 class Scheduler:
+    """A scheduler."""
+
     name: str
     participant: PolicyParticipant
     lease: Lease
-    life: int = 0
+    incarnation: int = 0
     document: Document = Document()
     up: bool = True
     stopped: bool = False
-    n: int = 0
-    request: Request | None = None
-    answer: Answer | None = None
+    last_message_id: int = 0
+    renewal: Renewal | None = None
+    reply: Reply | None = None
 
 
 class World:
-    """One state."""
+    """One state of the model."""
 
     def __init__(self, bug: str, schedulers: int = 3) -> None:
-        self.bug, self.draw, self.now = bug, Draw(), 0.0
-        first = PolicyVersion(1, "", "one", "begin")
+        """Starts with the first version in force and the first member leading; bug: one of BUGS, or empty."""
+        self.bug, self.next_id, self.now = bug, IdGenerator(), 0.0  # now: in ms
+        first_version = PolicyVersion(1, "", "one", "begin")
         self.document = Document().apply(
-            Transaction("begin", {CURRENT_KEY: encode_value(first), KEEPER: "0"})
+            Transaction("begin", {CURRENT_KEY: encode_value(first_version), LEADER_KEY: "0"})
         )
-        self.members = [Member(PolicyCoordinator(PermitSettings(AWAY), wall, self.draw)) for _ in range(2)]
+        self.members = [
+            Member(PolicyCoordinator(PermitSettings(PERMIT_MS), wall_clock, self.next_id)) for _ in range(2)
+        ]
         self.members[0].document = self.document
         if bug == "gone-name":
-            for each in self.members:
-                each.coordinator._possible_permit_holders = partial(by_name, each.coordinator)
-        self.most = 0  # the highest version under which anybody could take a job
-        self.schedulers = [self._begin(f"s{number}", 0) for number in range(schedulers)]
-        self.proposed = 0
+            for member in self.members:
+                member.coordinator._possible_permit_holders = partial(
+                    possible_holders_by_name, member.coordinator
+                )
+        self.highest_version = 0  # the highest version under which any scheduler could accept a job so far
+        self.schedulers = [self._new_scheduler(f"s{number}", 0) for number in range(schedulers)]
+        self.proposal_count = 0
 
-    def _begin(self, name: str, life: int) -> Scheduler:
+    def _new_scheduler(self, name: str, incarnation: int) -> Scheduler:
         lease = Lease()
-        made = Scheduler(name, PolicyParticipant(f"{name}.{life}", sound, lease), lease, life)
-        if self.bug == "start" and life:  # what its folder has, without a word from the fleet
-            before = next(each for each in self.schedulers if each.name == name)
-            made.document = before.document
-            made.participant.update_policy(self.now, read_policy(made.document))
-            lease.expires_at_ms = self.now + AWAY
-        return made
-
-    def _hold(self) -> None:
-        """Only the present copy matters; histories would tell states apart that are alike."""
+        scheduler = Scheduler(
+            name, PolicyParticipant(f"{name}.{incarnation}", accept_every_policy, lease), lease, incarnation
+        )
+        if self.bug == "start" and incarnation:  # uses its cached policy as if it had a permit
+            previous = next(each for each in self.schedulers if each.name == name)
+            scheduler.document = previous.document
+            scheduler.participant.update_policy(self.now, read_policy(scheduler.document))
+            lease.expires_at_ms = self.now + PERMIT_MS
+        return scheduler
+
+    def _drop_history(self) -> None:
+        """Keeps the document's entries only: by its history, equal states would have different keys."""
         self.document = Document(self.document.revision, self.document.entries)
 
     # -- steps
 
     def steps(self) -> list[tuple[str, int]]:
-        found: list[tuple[str, int]] = [("tick", 0)]
-        for place, each in enumerate(self.schedulers):
-            if not each.up:
-                found.append(("start", place))
+        """Returns the possible steps: a name, and the index of the scheduler or member."""
+        steps: list[tuple[str, int]] = [("tick", 0)]
+        for index, scheduler in enumerate(self.schedulers):
+            if not scheduler.up:
+                steps.append(("start", index))
                 continue
-            found.append(("kill", place))
-            if each.request is not None:
-                if each.request.came < 0:
-                    found += [("come", place), ("stray", place)]
-            elif not each.stopped and each.answer is None:
-                found.append(("renew", place))
-            if each.answer is not None:
-                found.append(("lose", place))
-                if not each.stopped:
-                    found.append(("hear", place))
-            found.append(("go_on" if each.stopped else "stop", place))
-        for place in range(len(self.members)):
-            found.append(("read", place))
-            if self.leader_index() == place:
-                found += [("decide", place), ("unheard", place)]
+            steps.append(("kill", index))
+            if scheduler.renewal is not None:
+                if scheduler.renewal.member_index < 0:
+                    steps += [("come", index), ("stray", index)]
+            elif not scheduler.stopped and scheduler.reply is None:
+                steps.append(("renew", index))
+            if scheduler.reply is not None:
+                steps.append(("lose", index))
+                if not scheduler.stopped:
+                    steps.append(("hear", index))
+            steps.append(("go_on" if scheduler.stopped else "stop", index))
+        for index in range(len(self.members)):
+            steps.append(("read", index))
+            if self.leader_index() == index:
+                steps += [("decide", index), ("unheard", index)]
             else:
-                found.append(("take_over", place))
-        return found
+                steps.append(("take_over", index))
+        return steps
 
     def leader_index(self) -> int:
-        return int(self.document.get_value(KEEPER))
+        """Returns the index of the leading member, by the document."""
+        return int(self.document.get_value(LEADER_KEY))
 
     def apply_step(self, step: tuple[str, int]) -> None:
-        name, place = step
-        getattr(self, f"_{name}")(place)
-        self._look()
+        """Applies a step of steps(); raises AssertionError if a version goes back by it."""
+        name, index = step
+        getattr(self, f"_{name}")(index)
+        self._check_versions()
 
     def _tick(self, _: int) -> None:
-        self.now += TICK
-
-    def _renew(self, place: int) -> None:
-        each = self.schedulers[place]
-        each.n += 1
-        each.lease.record_renewal(each.n, self.now)
-        each.request = Request(
-            each.participant.session, each.n, each.document.revision, each.participant.vote
+        self.now += TICK_MS
+
+    def _renew(self, index: int) -> None:
+        scheduler = self.schedulers[index]
+        scheduler.last_message_id += 1
+        scheduler.lease.record_renewal(scheduler.last_message_id, self.now)
+        scheduler.renewal = Renewal(
+            scheduler.participant.session,
+            scheduler.last_message_id,
+            scheduler.document.revision,
+            scheduler.participant.vote,
         )
 
-    def _come(self, place: int) -> None:
-        self.schedulers[place].request.came = self.leader_index()
+    def _come(self, index: int) -> None:
+        self.schedulers[index].renewal.member_index = self.leader_index()
 
-    def _stray(self, place: int) -> None:
-        """To a member that does not keep, or no more; it may yet come to keep before it reads."""
-        self.schedulers[place].request.came = 1 - self.leader_index()
+    def _stray(self, index: int) -> None:
+        """Delivers a renewal to the member that does not lead, but may take over before it reads."""
+        self.schedulers[index].renewal.member_index = 1 - self.leader_index()
 
-    def _lose(self, place: int) -> None:
-        self.schedulers[place].answer = None
+    def _lose(self, index: int) -> None:
+        self.schedulers[index].reply = None
 
-    def _read(self, place: int) -> None:
-        member = self.members[place]
-        was = member.document.get_value(KEEPER) == str(place)
-        member.document, member.told = self.document, None
-        ours = self.leader_index() == place
-        if not ours:
+    def _read(self, index: int) -> None:
+        """Reads the document for a member; if it leads, it replies to the renewals that it has."""
+        member = self.members[index]
+        was_leader = member.document.get_value(LEADER_KEY) == str(index)
+        member.document, member.unconfirmed_document = self.document, None
+        is_leader = self.leader_index() == index
+        if not is_leader:
             member.sessions = {}
-        elif not was:
+        elif not was_leader:
             member.leading_since_ms = self.now
-        for each in self.schedulers:
-            request = each.request
-            if request is None or request.came != place:
+        for scheduler in self.schedulers:
+            renewal = scheduler.renewal
+            if renewal is None or renewal.member_index != index:
                 continue
-            each.request = None
-            if not ours or request.seen > self.document.revision:
+            scheduler.renewal = None
+            if not is_leader or renewal.revision_seen > self.document.revision:
                 continue
-            session = member.sessions.setdefault(request.session, Session())
-            session.confirmed_at_ms, session.acknowledged_revision = self.now, request.seen
-            member.coordinator.record_vote(request.session, request.says)
-            if each.up and each.participant.session == request.session:
-                permit = (
-                    member.coordinator.may_hold_permit(request.session, self.document)
+            session = member.sessions.setdefault(renewal.session, Session())
+            session.confirmed_at_ms, session.acknowledged_revision = self.now, renewal.revision_seen
+            member.coordinator.record_vote(renewal.session, renewal.vote)
+            if scheduler.up and scheduler.participant.session == renewal.session:
+                grants_permit = (
+                    member.coordinator.may_hold_permit(renewal.session, self.document)
                     or self.bug == "no-register"
                 )
-                each.answer = Answer(request.n, member.document, permit)
+                scheduler.reply = Reply(renewal.message_id, member.document, grants_permit)
 
-    def _txn(self, place: int) -> Transaction | None:
-        member = self.members[place]
+    def _next_transaction(self, index: int) -> Transaction | None:
+        member = self.members[index]
         coordinator = member.coordinator
         if self.bug == "ready-twice":
-            waits = coordinator.blocking_schedulers(self.now, member.document, member)
+            blocking = coordinator.blocking_schedulers(self.now, member.document, member)
             policy = read_policy(member.document)
-            if policy.change is not None and policy.register and not waits:
+            if policy.change is not None and policy.register and not blocking:
                 return coordinator._end_change(policy, member.document, True, "")
         return coordinator.decide_next_change(self.now, member.document, member)
 
-    def _decide(self, place: int) -> None:
-        """It reads what a majority has, makes its next change, and that takes hold."""
-        member = self.members[place]
-        if member.document.get_value(KEEPER) != str(place):
-            return  # it has taken over, and has not heard of it
-        txn = self._txn(place)
+    def _decide(self, index: int) -> None:
+        """Makes the leader's next change by its copy of the document; reads if that copy is stale."""
+        member = self.members[index]
+        if member.document.get_value(LEADER_KEY) != str(index):
+            return  # it has taken over, but has not read that yet
+        txn = self._next_transaction(index)
         if txn is None:
             return
         txn = msgspec.structs.replace(
-            txn, expected_revisions={**txn.expected_revisions, **member.document.current_revisions(KEEPER)}
+            txn,
+            expected_revisions={
+                **txn.expected_revisions,
+                **member.document.current_revisions(LEADER_KEY),
+            },
         )
         after = self.document.apply(txn)
         if after is not None:
             self.document = after
-            self._hold()
+            self._drop_history()
             member.document = self.document
         else:
-            self._read(place)
+            self._read(index)
 
-    def _unheard(self, place: int) -> None:
-        """The same, but no majority has it; nobody may hear of it."""
+    def _unheard(self, index: int) -> None:
+        """Makes a change that no majority accepts: nobody may learn of it, except by the bug told-first."""
         if self.bug == "told-first":
-            member = self.members[place]
-            txn = self._txn(place) if member.document.get_value(KEEPER) == str(place) else None
+            member = self.members[index]
+            txn = (
+                self._next_transaction(index) if member.document.get_value(LEADER_KEY) == str(index) else None
+            )
             after = member.document.apply(txn) if txn is not None else None
             if after is not None:
-                for each in self.schedulers:
-                    if each.answer is not None:
-                        each.answer.document = Document(after.revision, after.entries)
-
-    def _take_over(self, place: int) -> None:
-        member = self.members[place]
-        txn = Transaction(self.draw(), {KEEPER: str(place)}, self.document.current_revisions(KEEPER))
+                for scheduler in self.schedulers:
+                    if scheduler.reply is not None:
+                        scheduler.reply.document = Document(after.revision, after.entries)
+
+    def _take_over(self, index: int) -> None:
+        member = self.members[index]
+        txn = Transaction(
+            self.next_id(), {LEADER_KEY: str(index)}, self.document.current_revisions(LEADER_KEY)
+        )
         self.document = self.document.apply(txn)
-        self._hold()
+        self._drop_history()
         member.document, member.leading_since_ms, member.sessions = self.document, self.now, {}
 
-    def _hear(self, place: int) -> None:
-        each = self.schedulers[place]
-        answer, each.answer = each.answer, None
-        if answer.document.revision > each.document.revision:
-            each.document = answer.document
-            each.participant.update_policy(self.now, read_policy(each.document))
-        if answer.permit:
-            each.lease.extend(answer.n, AWAY)
+    def _hear(self, index: int) -> None:
+        scheduler = self.schedulers[index]
+        reply, scheduler.reply = scheduler.reply, None
+        if reply.document.revision > scheduler.document.revision:
+            scheduler.document = reply.document
+            scheduler.participant.update_policy(self.now, read_policy(scheduler.document))
+        if reply.grants_permit:
+            scheduler.lease.extend(reply.message_id, PERMIT_MS)
 
-    def _stop(self, place: int) -> None:
-        self.schedulers[place].stopped = True
+    def _stop(self, index: int) -> None:
+        self.schedulers[index].stopped = True
 
-    def _go_on(self, place: int) -> None:
-        self.schedulers[place].stopped = False
+    def _go_on(self, index: int) -> None:
+        self.schedulers[index].stopped = False
 
-    def _kill(self, place: int) -> None:
-        each = self.schedulers[place]
-        each.up, each.stopped, each.answer = False, False, None
+    def _kill(self, index: int) -> None:
+        scheduler = self.schedulers[index]
+        scheduler.up, scheduler.stopped, scheduler.reply = False, False, None
 
-    def _start(self, place: int) -> None:
-        before = self.schedulers[place]
-        self.schedulers[place] = self._begin(before.name, before.life + 1)
-        # A renewal of its earlier life may still be under way.
-        self.schedulers[place].request = None
+    def _start(self, index: int) -> None:
+        previous = self.schedulers[index]
+        self.schedulers[index] = self._new_scheduler(previous.name, previous.incarnation + 1)
+        # Drops a renewal of the earlier incarnation that is still on its way.
+        self.schedulers[index].renewal = None
 
-    # -- what must hold
+    # -- rules
 
     def acceptable_versions(self) -> dict[str, int]:
-        found = {}
-        for each in self.schedulers:
-            if each.up and not each.stopped:
-                may = each.participant.decide_admission(self.now)
-                if may.action == "take" or (
+        """Returns, by scheduler, the version under which it would accept a job now, if it would."""
+        versions = {}
+        for scheduler in self.schedulers:
+            if scheduler.up and not scheduler.stopped:
+                decision = scheduler.participant.decide_admission(self.now)
+                if decision.action == "take" or (
                     self.bug == "stopped"
-                    and each.lease.expires_at_ms > float("-inf")
-                    and not each.participant.policy.is_closed()
-                    and each.participant.policy.now.number
+                    and scheduler.lease.expires_at_ms > float("-inf")
+                    and not scheduler.participant.policy.is_closed()
+                    and scheduler.participant.policy.now.number
                 ):
-                    found[each.name] = may.version or each.participant.policy.now.number
-        return found
+                    versions[scheduler.name] = decision.version or scheduler.participant.policy.now.number
+        return versions
+
+    def _check_versions(self) -> None:
+        versions = self.acceptable_versions()
+        if versions and min(versions.values()) < self.highest_version:
+            raise AssertionError(f"{versions}, after a job could be taken under {self.highest_version}")
+        self.highest_version = (
+            max(self.highest_version, *versions.values()) if versions else self.highest_version
+        )
 
-    def _look(self) -> None:
-        can = self.acceptable_versions()
-        if can and min(can.values()) < self.most:
-            raise AssertionError(f"{can}, after a job could be taken under {self.most}")
-        self.most = max(self.most, *can.values()) if can else self.most
+    def propose(self, removed_names: list[str] = ()) -> None:
+        """Proposes a change if none is pending.
 
-    def propose(self, gone: list[str] = ()) -> None:
+        removed_names: schedulers that the operator declares to be gone for good.
+        """
         policy = read_policy(self.document)
         if policy.change is None:
-            self.proposed += 1
+            self.proposal_count += 1
             txn = self.members[0].coordinator.propose(
-                self.document, f"v{self.proposed}", policy.now.number, "o", "", 4 * TICK, list(gone)
+                self.document,
+                f"v{self.proposal_count}",
+                policy.now.number,
+                "o",
+                "",
+                4 * TICK_MS,
+                list(removed_names),
             )
             self.document = self.document.apply(txn)
-            self._hold()
+            self._drop_history()
 
-    # -- states that are alike
+    # -- identification of equal states
 
     def key(self) -> bytes:
+        """Returns a key that is equal for states that behave alike.
+
+        Revisions count from the current one, and times from now, at most 4 ticks back.
+        """
         revision = self.document.revision
 
-        def copy(document: Document) -> tuple[Any, ...]:
+        def document_key(document: Document) -> tuple[Any, ...]:
             policy, change = read_policy(document), read_policy(document).change
             return (
                 revision - document.revision,
                 policy.now.number,
-                document.get_value(KEEPER),
-                None if change is None else (change.state, change.revert_count, change.id == now_id),
+                document.get_value(LEADER_KEY),
+                None if change is None else (change.state, change.revert_count, change.id == change_id),
                 tuple(sorted(policy.register.items())),
             )
 
         change = read_policy(self.document).change
-        now_id = change.id if change is not None else ""
+        change_id = change.id if change is not None else ""
 
-        def age(at: float) -> float:
-            return max(-4 * TICK, at - self.now)
+        def relative_time(at_ms: float) -> float:
+            return max(-4 * TICK_MS, at_ms - self.now)
 
-        parts: list[Any] = [copy(self.document), self.most]
-        for each in self.schedulers:
-            request, answer = each.request, each.answer
-            asked = each.lease.renewals_sent
+        parts: list[Any] = [document_key(self.document), self.highest_version]
+        for scheduler in self.schedulers:
+            renewal, reply = scheduler.renewal, scheduler.reply
+            sent_at_ms = scheduler.lease.renewals_sent
             parts.append(
                 (
-                    each.life,
-                    each.up,
-                    each.stopped,
-                    copy(each.document),
-                    age(each.lease.expires_at_ms),
-                    each.participant.vote.change_id == now_id,
-                    request
+                    scheduler.incarnation,
+                    scheduler.up,
+                    scheduler.stopped,
+                    document_key(scheduler.document),
+                    relative_time(scheduler.lease.expires_at_ms),
+                    scheduler.participant.vote.change_id == change_id,
+                    renewal
+                    and (
+                        renewal.member_index,
+                        revision - renewal.revision_seen,
+                        renewal.vote.change_id == change_id,
+                        relative_time(sent_at_ms.get(renewal.message_id, 0.0)),
+                    ),
+                    reply
                     and (
-                        request.came,
-                        revision - request.seen,
-                        request.says.change_id == now_id,
-                        age(asked.get(request.n, 0.0)),
+                        document_key(reply.document),
+                        reply.grants_permit,
+                        relative_time(sent_at_ms.get(reply.message_id, 0.0)),
                     ),
-                    answer and (copy(answer.document), answer.permit, age(asked.get(answer.n, 0.0))),
                 )
             )
         for member in self.members:
             coordinator = member.coordinator
             parts.append(
                 (
-                    age(member.leading_since_ms),
-                    copy(member.document),
+                    relative_time(member.leading_since_ms),
+                    document_key(member.document),
+                    tuple(
+                        (
+                            id,
+                            relative_time(session.confirmed_at_ms),
+                            revision - session.acknowledged_revision,
+                        )
+                        for id, session in sorted(member.sessions.items())
+                    ),
                     tuple(
-                        (id, age(each.confirmed_at_ms), revision - each.acknowledged_revision)
-                        for id, each in sorted(member.sessions.items())
+                        sorted((id, vote.change_id == change_id) for id, vote in coordinator.votes.items())
+                    ),
+                    tuple(
+                        sorted(
+                            (id, relative_time(at_ms))
+                            for id, at_ms in coordinator.permit_confirmed_at_ms.items()
+                        )
                     ),
-                    tuple(sorted((id, says.change_id == now_id) for id, says in coordinator.votes.items())),
-                    tuple(sorted((id, age(at)) for id, at in coordinator.permit_confirmed_at_ms.items())),
                     revision - coordinator.change_revision_seen[0],
-                    age(coordinator.change_revision_seen[1]),
-                    coordinator.change_started[0] == now_id,
-                    age(coordinator.change_started[1]),
+                    relative_time(coordinator.change_revision_seen[1]),
+                    coordinator.change_started[0] == change_id,
+                    relative_time(coordinator.change_started[1]),
                 )
             )
         return pickle.dumps(parts)
 
 
 def initial_world(bug: str, new: bool = False) -> World:
-    """All three are registered, hold a permit, and a change has been proposed; new: the third was never
-    there."""
+    """Returns a world in which all schedulers are registered and have a permit, with a change proposed.
+
+    new: the third scheduler has never run.
+    """
     world = World(bug)
     world.schedulers[2].up = not new
     run_without_faults(world, 3, start=False)
@@ -418,55 +504,62 @@
 
 
 def run_without_faults(world: World, rounds: int, start: bool = True) -> None:
-    """Without faults: everybody renews, hears, and the keeper goes on."""
+    """In each round every scheduler renews and receives the reply, and the leader makes its next change.
+
+    start: starts the schedulers that are down; otherwise they stay down.
+    """
     for _ in range(rounds):
-        place = world.leader_index()
-        for number, each in enumerate(world.schedulers):
-            if not each.up and not start:
+        leader_index = world.leader_index()
+        for index, scheduler in enumerate(world.schedulers):
+            if not scheduler.up and not start:
                 continue
-            if not each.up:
-                world.apply_step(("start", number))
-            if world.schedulers[number].stopped:
-                world.apply_step(("go_on", number))
-            each = world.schedulers[number]
-            if each.answer is not None:
-                world.apply_step(("hear", number))
-            if each.request is None:
-                world.apply_step(("renew", number))
-            if each.request.came != place:
-                world.apply_step(("come", number))
-        world.apply_step(("read", place))
-        for number, each in enumerate(world.schedulers):
-            if each.answer is not None:
-                world.apply_step(("hear", number))
-        world.apply_step(("decide", place))
-
-
-def explore(bug: str, depth: int, most: int, new: bool = False) -> tuple[int, int, str]:
-    """Breadth first: states seen, the depth that was done whole, and what was wrong."""
+            if not scheduler.up:
+                world.apply_step(("start", index))
+            if world.schedulers[index].stopped:
+                world.apply_step(("go_on", index))
+            scheduler = world.schedulers[index]
+            if scheduler.reply is not None:
+                world.apply_step(("hear", index))
+            if scheduler.renewal is None:
+                world.apply_step(("renew", index))
+            if scheduler.renewal.member_index != leader_index:
+                world.apply_step(("come", index))
+        world.apply_step(("read", leader_index))
+        for index, scheduler in enumerate(world.schedulers):
+            if scheduler.reply is not None:
+                world.apply_step(("hear", index))
+        world.apply_step(("decide", leader_index))
+
+
+def explore(bug: str, depth: int, max_states: int, new: bool = False) -> tuple[int, int, str]:
+    """Explores all interleavings breadth first, until a violation, the depth or max_states.
+
+    Returns the number of states, the depth that was explored completely (at a violation: the depth of the
+    violation), and the violation with its steps, which is empty if there is none.
+    """
     world = initial_world(bug, new)
-    seen, edge = {world.key()}, [(pickle.dumps(world), ())]
+    seen_keys, frontier = {world.key()}, [(pickle.dumps(world), ())]
     for level in range(1, depth + 1):
-        further = []
-        for packed, path in edge:
-            base = pickle.loads(packed)
+        next_frontier = []
+        for pickled, path in frontier:
+            base = pickle.loads(pickled)
             for step in base.steps():
-                world = pickle.loads(packed)
+                world = pickle.loads(pickled)
                 try:
                     world.apply_step(step)
                 except AssertionError as error:
-                    return len(seen), level, f"{error}: {[*path, step]}"
+                    return len(seen_keys), level, f"{error}: {[*path, step]}"
                 key = world.key()
-                if key not in seen:
-                    seen.add(key)
-                    further.append((pickle.dumps(world), (*path, step)))
-            if len(seen) > most:
-                return len(seen), level - 1, ""
-        edge = further
-    return len(seen), depth, ""
+                if key not in seen_keys:
+                    seen_keys.add(key)
+                    next_frontier.append((pickle.dumps(world), (*path, step)))
+            if len(seen_keys) > max_states:
+                return len(seen_keys), level - 1, ""
+        frontier = next_frontier
+    return len(seen_keys), depth, ""
 
 
-STEP_WEIGHTS = {
+STEP_WEIGHTS = {  # of the steps of a random walk
     "tick": 1.0,
     "kill": 0.6,
     "stop": 0.5,
@@ -485,20 +578,24 @@
 
 
 def random_walk(bug: str, seed: int, depth: int) -> tuple[str, int, int]:
-    """One at random: what was wrong, versions that came in force, and changes that did not."""
-    draw, world, path = random.Random(seed), initial_world(bug, seed % 2 == 1), []
+    """Runs one random walk of `depth` steps, then rounds without faults.
+
+    Returns the violation with its last 25 steps (empty: none), the number of versions that came into force,
+    and the number of changes that did not.
+    """
+    rng, world, path = random.Random(seed), initial_world(bug, seed % 2 == 1), []
     try:
         for number in range(depth):
             if number % 10 == 9:
                 policy = read_policy(world.document)
-                gone = [
+                down = [
                     name
-                    for each in world.schedulers
-                    if not each.up and (name := each.name) in policy.register
+                    for scheduler in world.schedulers
+                    if not scheduler.up and (name := scheduler.name) in policy.register
                 ]
-                world.propose(gone if draw.random() < 0.7 else ())
+                world.propose(down if rng.random() < 0.7 else ())
             steps = world.steps()
-            step = draw.choices(steps, [STEP_WEIGHTS[name] for name, _ in steps])[0]
+            step = rng.choices(steps, [STEP_WEIGHTS[name] for name, _ in steps])[0]
             path.append(step)
             world.apply_step(step)
         for _ in range(12):
@@ -507,50 +604,55 @@
         run_without_faults(world, 4)
         if read_policy(world.document).change is not None:
             raise AssertionError("the change has not ended")
-        can = world.acceptable_versions()
-        if len(can) < 3 or len(set(can.values())) != 1:
-            raise AssertionError(f"not all take jobs under one version: {can}")
+        versions = world.acceptable_versions()
+        if len(versions) < 3 or len(set(versions.values())) != 1:
+            raise AssertionError(f"not all take jobs under one version: {versions}")
     except AssertionError as error:
         return f"{error}: {path[-25:]}", 0, 0
-    past = read_policy(world.document).history
-    return "", sum(each.taken for each in past), sum(not each.taken for each in past)
+    history = read_policy(world.document).history
+    return "", sum(each.taken for each in history), sum(not each.taken for each in history)
 
 
-def _walks(given: tuple[str, int, int, int]) -> tuple[list[str], Counter[str]]:
-    bug, begin, count, depth = given
-    wrong, counts = [], Counter[str]()
+def _run_walks(arguments: tuple[str, int, int, int]) -> tuple[list[str], Counter[str]]:
+    bug, begin, count, depth = arguments
+    violations, counts = [], Counter[str]()
     for seed in range(begin, begin + count):
-        found, taken, not_taken = random_walk(bug, seed, depth)
-        counts.update(taken=taken, not_taken=not_taken, walks=1, wrong=bool(found))
-        if found:
-            wrong.append(f"seed {seed}: {found}")
-    return wrong, counts
+        violation, taken, not_taken = random_walk(bug, seed, depth)
+        counts.update(taken=taken, not_taken=not_taken, walks=1, wrong=bool(violation))
+        if violation:
+            violations.append(f"seed {seed}: {violation}")
+    return violations, counts
 
 
 @click.command()
 @click.option("--depth", default=8, show_default=True)
-@click.option("--most", default=2_000_000, show_default=True, help="States at most.")
-@click.option("--walks", default=0, show_default=True, help="So many at random instead.")
+@click.option("--most", default=2_000_000, show_default=True, help="Maximum number of states.")
+@click.option("--walks", default=0, show_default=True, help="Number of random walks; 0: all interleavings.")
 @click.option("--bug", default="", type=click.Choice(["", *BUGS]))
 def main(depth: int, most: int, walks: int, bug: str) -> None:
+    """Explores all interleavings to a depth, or runs random walks, and prints what was found."""
     if not walks:
         for new in (False, True):
-            states, done, wrong = explore(bug, depth, most, new)
-            begin = "one is new" if new else "all are known"
+            states, done, violation = explore(bug, depth, most, new)
+            start = "one is new" if new else "all are known"
             click.echo(
-                f"{bug or 'no bug'}, {begin}: {states} states, all to depth {done}; "
-                f"{wrong or 'nothing wrong'}"
+                f"{bug or 'no bug'}, {start}: {states} states, all to depth {done}; "
+                f"{violation or 'nothing wrong'}"
             )
         return
-    size = 250
+    batch_size = 250
     with ProcessPoolExecutor() as pool:
-        found = list(
+        batches = list(
             pool.map(
-                _walks, [(bug, begin, min(size, walks - begin), depth) for begin in range(0, walks, size)]
+                _run_walks,
+                [
+                    (bug, begin, min(batch_size, walks - begin), depth)
+                    for begin in range(0, walks, batch_size)
+                ],
             )
         )
-    counts = sum((each for _, each in found), Counter())
-    for line in [line for wrong, _ in found for line in wrong][:3]:
+    counts = sum((each for _, each in batches), Counter())
+    for line in [line for violations, _ in batches for line in violations][:3]:
         click.echo(line)
     click.echo(f"{bug or 'no bug'}: {dict(counts)}")
 
