--- a/measure/fleet/check.py
+++ b/measure/fleet/check.py
@@ -2,14 +2,14 @@
 
 The schedulers are asked nothing. All functions are pure; most return one line for each violation of a rule:
 
-- Every job gets exactly one answer, by its deadline and ANSWER_GRACE_MS.
-- A `schedule-apply` runs at most once.
+- Every job gets exactly one answer, within its budget and ANSWER_GRACE_MS.
+- A `schedule-apply` job, which is non-idempotent, runs at most once.
 - No job is at two workers at a time, unless the first worker was killed or could not be told to drop it.
 - No worker gets more work in any window of its slow start than its budget.
-- No job is accepted under an earlier policy version than one before it.
+- Once a job has been accepted under a policy version, no job is accepted under an earlier version.
 
-A record is a JSON object of parts.py or watched.py; its `ev` says what happened, and `t` when, in s of the
-wall clock. The name of a job begins with its scheduler's and a dash.
+A record is a JSON object that parts.py or watched.py wrote. Its field `ev` is the kind of the event, `t` its
+time in s of the wall clock. The id of a job begins with the name of its scheduler and a dash.
 """
 
 from __future__ import annotations
@@ -169,7 +169,7 @@
 
 
 def version_regressions(records: Iterable[Mapping[str, Any]]) -> list[str]:
-    """Returns a line for each job that was accepted under an earlier policy version than one before it."""
+    """Returns a line for each job that was accepted under an earlier policy version than a previous job."""
     highest_version, scheduler, violations = 0, "", []
     for record in records:
         if record["ev"] != "taken":
--- a/measure/fleet/ground.py
+++ b/measure/fleet/ground.py
@@ -58,7 +58,7 @@
         self.ready = json.loads(self.process.stdout.readline())
 
     def send_order(self, order: dict[str, Any]) -> None:
-        """Writes one order to the process; several threads may do so."""
+        """Writes one order to the process; threads may call this at the same time."""
         with self.lock:
             self.process.stdin.write(json.dumps(order) + "\n")
             self.process.stdin.flush()
