--- a/tests/test_decider_digests.py
+++ b/tests/test_decider_digests.py
@@ -57,7 +57,7 @@
 
 def zone_fleet(seed: int, aim: str) -> list:
     """Keepers, schedulers and job workers in simulated time, a zone lost and faults drawn."""
-    row = simulated.play(seed, aim=aim)
+    row = simulated.run_world(seed, aim=aim)
     return [
         row["how"],
         row["missed"],
@@ -249,24 +249,26 @@
 
 def policy_walk(seed: int) -> list:
     """Coordinator and participant in a random walk: the documents and what each may, after every step."""
-    rng, world, found = Random(f"policy {seed}"), policymodel.begun("", seed % 2 == 1), []
+    rng, world, found = Random(f"policy {seed}"), policymodel.initial_world("", seed % 2 == 1), []
     for number in range(150):
         if number % 15 == 14:
             world.propose(())
         steps = world.steps()
-        step = rng.choices(steps, [policymodel.WEIGHTS[name] for name, _ in steps])[0]
-        world.do(step)
+        step = rng.choices(steps, [policymodel.STEP_WEIGHTS[name] for name, _ in steps])[0]
+        world.apply_step(step)
         entries = world.document.entries
         found.append([*step, world.document.revision, [[key, entries[key].value] for key in sorted(entries)]])
         found.append(
             [
-                plain(each.hand.decide_admission(world.now + wait))
+                plain(each.participant.decide_admission(world.now + wait))
                 for each in world.schedulers
                 for wait in (0.0, 249.0, 250.0)
             ]
         )
-        keeper = world.members[world.keeps()]
-        found.append(sorted(keeper.chair.blocking_schedulers(world.now, keeper.document, keeper).items()))
+        keeper = world.members[world.leader_index()]
+        found.append(
+            sorted(keeper.coordinator.blocking_schedulers(world.now, keeper.document, keeper).items())
+        )
     return found
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,7 +13,7 @@
 
 from measure.daemons import ROOT
 from measure.fleet import check
-from measure.fleet.ground import Ground
+from measure.fleet.ground import ProcessFleet
 from spanwing.cli.main import main as command
 from spanwing.workers.worker_id import worker_id_of
 from spanwing.zones.evidence import short_worker_id
@@ -25,40 +25,40 @@
 class FleetTestCase(unittest.TestCase):
     """Starts a fleet under load, and checks at the end that no rule of the fleet was broken."""
 
-    def start_fleet(self, **how) -> Ground:
-        fleet = Ground(**how)
+    def start_fleet(self, **how) -> ProcessFleet:
+        fleet = ProcessFleet(**how)
         self.addCleanup(fleet.close)
-        fleet.until(fleet.contact)
-        fleet.load(True)
+        fleet.wait_until(fleet.all_in_contact)
+        fleet.generate_load(True)
         # A verdict needs evidence: some scheduler has good evidence on every zone.
-        fleet.until(lambda: all(self.good_workers_seen(fleet, zone) for zone in fleet.zones))
+        fleet.wait_until(lambda: all(self.good_workers_seen(fleet, zone) for zone in fleet.zones))
         return fleet
 
-    def good_workers_seen(self, fleet: Ground, zone: str) -> int:
+    def good_workers_seen(self, fleet: ProcessFleet, zone: str) -> int:
         return sum(
-            fleet.zones_of(name)["zones"].get(zone, {}).get("seen_good", 0) for name in fleet.reached()
+            fleet.zone_status(name)["zones"].get(zone, {}).get("seen_good", 0) for name in fleet.reachable_schedulers()
         )
 
-    def wait_until_left(self, fleet: Ground, *zones: str) -> None:
+    def wait_until_left(self, fleet: ProcessFleet, *zones: str) -> None:
         for zone in zones:
-            fleet.until(lambda zone=zone: fleet.states(zone) == {"left"})
+            fleet.wait_until(lambda zone=zone: fleet.states(zone) == {"left"})
 
-    def wait_until_open(self, fleet: Ground, *zones: str) -> None:
+    def wait_until_open(self, fleet: ProcessFleet, *zones: str) -> None:
         for zone in zones:
-            fleet.until(lambda zone=zone: fleet.contact() and fleet.states(zone) == {"open"})
+            fleet.wait_until(lambda zone=zone: fleet.all_in_contact() and fleet.states(zone) == {"open"})
 
-    def last_author(self, fleet: Ground) -> str:
+    def last_author(self, fleet: ProcessFleet) -> str:
         """Returns the member that wrote the last change."""
         return fleet.history()[-1]["author"]
 
-    def assert_only_left(self, fleet: Ground, left: set[str], gone: tuple[str, ...] = ()) -> None:
+    def assert_only_left(self, fleet: ProcessFleet, left: set[str], gone: tuple[str, ...] = ()) -> None:
         """Asserts that no rule was broken and that these zones were left and no others.
 
         gone: schedulers that were killed.
         """
         history = fleet.history()
         fleet.settle()
-        self.assertEqual(fleet.wrong(gone)[:5], [])
+        self.assertEqual(fleet.rule_violations(gone)[:5], [])
         self.assertEqual(
             {each["zone"] for each in history if each["state"].split(",")[0] in LEAVING_OR_LEFT}, left
         )
@@ -91,48 +91,48 @@
 
     def test_silent_with_its_schedulers_cut_off(self) -> None:
         fleet = self.start_fleet(seed=3)
-        zone = ["s0", "s3", *fleet.of_zone("a")]
+        zone = ["s0", "s3", *fleet.workers_in_zone("a")]
         rest = [name for name in (*fleet.schedulers, *fleet.workers) if name not in zone]
-        cut = fleet.links(zone, rest)
-        fleet.set(cut, there=False, back=False)
+        cut = fleet.links_between(zone, rest)
+        fleet.set_link_state(cut, there=False, back=False)
         others = ["s1", "s2", "s4"]
-        fleet.until(lambda: fleet.states("a", others) <= LEAVING_OR_LEFT)
-        fleet.until(lambda: not fleet.contact(["s0"]) and not fleet.contact(["s3"]))
-        fleet.set(cut)
+        fleet.wait_until(lambda: fleet.states("a", others) <= LEAVING_OR_LEFT)
+        fleet.wait_until(lambda: not fleet.all_in_contact(["s0"]) and not fleet.all_in_contact(["s3"]))
+        fleet.set_link_state(cut)
         self.wait_until_open(fleet, "a")
         self.assert_only_left(fleet, {"a"})
 
     def test_silent(self) -> None:
         fleet = self.start_fleet(seed=4)
-        fleet.stop(*fleet.of_zone("a"))
+        fleet.stop(*fleet.workers_in_zone("a"))
         self.wait_until_left(fleet, "a")
-        fleet.go_on(*fleet.of_zone("a"))
+        fleet.resume(*fleet.workers_in_zone("a"))
         self.wait_until_open(fleet, "a")
         self.assert_only_left(fleet, {"a"})
 
     def test_slow_by_two_seconds(self) -> None:
         fleet = self.start_fleet(seed=5)
-        links = fleet.links(fleet.schedulers, fleet.of_zone("b"))
-        fleet.set(links, slow_s=2.0)
+        links = fleet.links_between(fleet.schedulers, fleet.workers_in_zone("b"))
+        fleet.set_link_state(links, slow_s=2.0)
         self.wait_until_left(fleet, "b")
-        fleet.set(links)
+        fleet.set_link_state(links)
         self.wait_until_open(fleet, "b")
         self.assert_only_left(fleet, {"b"})
 
     def test_failing_fast(self) -> None:
         fleet = self.start_fleet(seed=6)
-        fleet.how("c", "failing")
+        fleet.set_worker_mode("c", "failing")
         self.wait_until_left(fleet, "c")
         left_at = time.time()
-        fleet.until(lambda: self.good_workers_seen(fleet, "a") > 0)
+        fleet.wait_until(lambda: self.good_workers_seen(fleet, "a") > 0)
         # Schedulers in contact send nothing there; requests in flight may still arrive for 50 ms.
         arrivals = [
             each
             for each in fleet.records()
-            if each["ev"] == "got" and each["worker"] in fleet.of_zone("c") and each["t"] > left_at + 0.05
+            if each["ev"] == "got" and each["worker"] in fleet.workers_in_zone("c") and each["t"] > left_at + 0.05
         ]
         self.assertEqual(arrivals, [])
-        fleet.how("c", "up")
+        fleet.set_worker_mode("c", "up")
         self.wait_until_open(fleet, "c")
         self.assert_only_left(fleet, {"c"})
 
@@ -141,12 +141,12 @@
         fleet.kill_zone("a")
         self.wait_until_left(fleet, "a")
         fleet.start_zone("a")
-        fleet.until(lambda: fleet.states("a") == {"returning"})
+        fleet.wait_until(lambda: fleet.states("a") == {"returning"})
         fleet.kill_zone("a")
         self.wait_until_left(fleet, "a")
         fleet.start_zone("a")
         self.wait_until_open(fleet, "a")
-        self.assertEqual(fleet.zones_of("s0")["zones"]["a"]["failures"], 2)  # the second hold-down was longer
+        self.assertEqual(fleet.zone_status("s0")["zones"]["a"]["failures"], 2)  # the second hold-down was longer
         self.assert_only_left(fleet, {"a"})
 
 
@@ -156,25 +156,25 @@
 
     def test_it_fails_again_at_each_step_of_its_return(self) -> None:
         fleet = self.start_fleet(seed=10)
-        fleet.how("b", "failing")
+        fleet.set_worker_mode("b", "failing")
         self.wait_until_left(fleet, "b")
-        fleet.how("b", "up")
+        fleet.set_worker_mode("b", "up")
         for step in (2, 3, 4):
             before = len(fleet.history())
-            fleet.until(
+            fleet.wait_until(
                 lambda step=step, before=before: any(
                     each["zone"] == "b" and each["step"] == step for each in fleet.history()[before:]
                 )
             )
-            fleet.how("b", "failing")
-            fleet.until(
+            fleet.set_worker_mode("b", "failing")
+            fleet.wait_until(
                 lambda before=before: any(
                     each["zone"] == "b" and each["state"] == "leaving" for each in fleet.history()[before:]
                 )
             )
-            fleet.how("b", "up")
+            fleet.set_worker_mode("b", "up")
         self.wait_until_open(fleet, "b")
-        self.assertGreaterEqual(fleet.zones_of("s0")["zones"]["b"]["failures"], 4)
+        self.assertGreaterEqual(fleet.zone_status("s0")["zones"]["b"]["failures"], 4)
         self.assert_only_left(fleet, {"b"})
 
 
@@ -183,27 +183,27 @@
     """Schedulers that may not communicate: each decides by its own evidence."""
 
     def test_each_leaves_a_killed_zone_and_returns(self) -> None:
-        fleet = self.start_fleet(seed=8, solo=True, per_zone=3, members=1)
+        fleet = self.start_fleet(seed=8, standalone=True, per_zone=3, members=1)
         fleet.kill_zone("a")
         self.wait_until_left(fleet, "a")
         self.assertEqual((fleet.states("b"), fleet.states("c")), ({"open"}, {"open"}))
         fleet.start_zone("a")
         self.wait_until_open(fleet, "a")
         fleet.settle()
-        self.assertEqual(fleet.wrong()[:5], [])
+        self.assertEqual(fleet.rule_violations()[:5], [])
 
     def test_one_that_is_cut_off_leaves_nothing(self) -> None:
-        fleet = self.start_fleet(seed=9, solo=True, members=1)
-        fleet.set(fleet.links(["s4"], fleet.workers), refused=True)
+        fleet = self.start_fleet(seed=9, standalone=True, members=1)
+        fleet.set_link_state(fleet.links_between(["s4"], fleet.workers), refused=True)
 
         def has_good_evidence() -> bool:
-            return any(each["seen_good"] for each in fleet.zones_of("s4")["zones"].values())
+            return any(each["seen_good"] for each in fleet.zone_status("s4")["zones"].values())
 
-        fleet.until(lambda: not has_good_evidence())
+        fleet.wait_until(lambda: not has_good_evidence())
         time.sleep(3.0)
         self.assertEqual(fleet.history("s4"), [])
-        fleet.set(fleet.links(["s4"], fleet.workers))
-        fleet.until(has_good_evidence)
+        fleet.set_link_state(fleet.links_between(["s4"], fleet.workers))
+        fleet.wait_until(has_good_evidence)
         self.assertEqual(fleet.history("s4"), [])
         fleet.settle()
 
@@ -212,7 +212,7 @@
 class NoFailedZone(FleetTestCase):
     """Faults that must not be taken for a failed zone."""
 
-    def assert_nothing_left(self, fleet: Ground, wait_s: float = 4.0) -> None:
+    def assert_nothing_left(self, fleet: ProcessFleet, wait_s: float = 4.0) -> None:
         """Asserts that no zone is left for this long, which is far longer than a verdict takes."""
         end = time.monotonic() + wait_s
         while time.monotonic() < end:
@@ -221,39 +221,39 @@
 
     def test_one_scheduler_is_cut_off_both_ways_and_one_way(self) -> None:
         fleet = self.start_fleet(seed=11)
-        links = fleet.links(["s4"], fleet.workers)
+        links = fleet.links_between(["s4"], fleet.workers)
         for fault in ({"there": False, "back": False}, {"back": False}, {"refused": True}):
-            fleet.set(links, **fault)
+            fleet.set_link_state(links, **fault)
             self.assert_nothing_left(fleet)
-            fleet.set(links)
-            fleet.until(lambda: any(fleet.zones_of("s4")["zones"][zone]["seen_good"] for zone in "abc"))
+            fleet.set_link_state(links)
+            fleet.wait_until(lambda: any(fleet.zone_status("s4")["zones"][zone]["seen_good"] for zone in "abc"))
         fleet.settle()
 
     def test_two_of_one_zone_see_all_others_fail(self) -> None:
         fleet = self.start_fleet(seed=12)
-        others = [*fleet.of_zone("b"), *fleet.of_zone("c")]
-        fleet.set(fleet.links(["s0", "s3"], others), refused=True)
-        fleet.until(lambda: fleet.zones_of("s3")["zones"]["b"]["seen_bad"] > 0)
+        others = [*fleet.workers_in_zone("b"), *fleet.workers_in_zone("c")]
+        fleet.set_link_state(fleet.links_between(["s0", "s3"], others), refused=True)
+        fleet.wait_until(lambda: fleet.zone_status("s3")["zones"]["b"]["seen_bad"] > 0)
         self.assert_nothing_left(fleet)
         fleet.settle()
-        self.assertEqual(fleet.wrong()[:5], [])
+        self.assertEqual(fleet.rule_violations()[:5], [])
 
     def test_one_bad_worker_a_full_zone_and_no_discovery(self) -> None:
         fleet = self.start_fleet(seed=13, per_zone=3)
-        fleet.set(fleet.links(fleet.schedulers, ["discovery"]), there=False, back=False)
-        fleet.parts["wa0"].do({"how": "failing"})
-        fleet.how("b", "full")
-        fleet.until(lambda: any(fleet.zones_of(name)["zones"]["a"]["seen_bad"] for name in fleet.reached()))
+        fleet.set_link_state(fleet.links_between(fleet.schedulers, ["discovery"]), there=False, back=False)
+        fleet.parts["wa0"].send_order({"how": "failing"})
+        fleet.set_worker_mode("b", "full")
+        fleet.wait_until(lambda: any(fleet.zone_status(name)["zones"]["a"]["seen_bad"] for name in fleet.reachable_schedulers()))
         self.assert_nothing_left(fleet)
         fleet.settle()
-        self.assertEqual(fleet.wrong()[:5], [])
+        self.assertEqual(fleet.rule_violations()[:5], [])
 
 
 @pytest.mark.xdist_group("fleets-b")
 class SeveralZones(FleetTestCase):
     """Several zones fail together."""
 
-    def assert_some_zone_open(self, fleet: Ground) -> None:
+    def assert_some_zone_open(self, fleet: ProcessFleet) -> None:
         """Asserts that some zone was open after each change.
 
         A returning zone does not count, as it may be left again.
@@ -266,17 +266,17 @@
     def test_two_together_and_the_last_is_never_left(self) -> None:
         fleet = self.start_fleet(seed=21)
         for zone in ("a", "b"):
-            fleet.how(zone, "failing")
+            fleet.set_worker_mode(zone, "failing")
         self.wait_until_left(fleet, "a", "b")
-        fleet.how("c", "failing")
-        fleet.until(lambda: self.good_workers_seen(fleet, "c") == 0)
+        fleet.set_worker_mode("c", "failing")
+        fleet.wait_until(lambda: self.good_workers_seen(fleet, "c") == 0)
         self.assert_some_zone_open(fleet)  # c is open, unless another zone has opened again before
         for zone in fleet.zones:
-            fleet.how(zone, "up")
+            fleet.set_worker_mode(zone, "up")
         self.wait_until_open(fleet, *fleet.zones)
         self.assert_some_zone_open(fleet)
         fleet.settle()
-        self.assertEqual(fleet.wrong()[:5], [])
+        self.assertEqual(fleet.rule_violations()[:5], [])
 
     def test_a_region_is_left_by_one_change(self) -> None:
         fleet = self.start_fleet(seed=22, zones=("a", "b", "c", "d"), regions={"west": ["a", "b", "c"]})
@@ -307,14 +307,14 @@
             fleet.start(name)
 
         fleet.kill_zone("b")
-        fleet.until(lambda: fleet.states("b", fleet.reached()[:1]) <= LEAVING_OR_LEFT)
+        fleet.wait_until(lambda: fleet.states("b", fleet.reachable_schedulers()[:1]) <= LEAVING_OR_LEFT)
         kill()
         self.wait_until_left(fleet, "b")
         kill()
         fleet.start_zone("b")
-        fleet.until(lambda: "returning" in fleet.states("b"))
+        fleet.wait_until(lambda: "returning" in fleet.states("b"))
         kill()
-        fleet.until(lambda: any(each["zone"] == "b" and each["step"] == 3 for each in fleet.history()))
+        fleet.wait_until(lambda: any(each["zone"] == "b" and each["step"] == 3 for each in fleet.history()))
         kill()
         self.wait_until_open(fleet, "b")
         self.assert_only_left(fleet, {"b"}, tuple(killed))
@@ -322,13 +322,13 @@
     def test_the_leader_is_stopped_while_a_zone_is_left_and_continues(self) -> None:
         fleet = self.start_fleet(seed=32)
         fleet.kill_zone("b")
-        fleet.until(lambda: fleet.states("b", fleet.reached()[:1]) <= LEAVING_OR_LEFT)
+        fleet.wait_until(lambda: fleet.states("b", fleet.reachable_schedulers()[:1]) <= LEAVING_OR_LEFT)
         name = self.last_author(fleet)
         fleet.stop(name)
         self.wait_until_left(fleet, "b")
         fleet.start_zone("b")
-        fleet.until(lambda: fleet.states("b") == {"returning"})
-        fleet.go_on(name)
+        fleet.wait_until(lambda: fleet.states("b") == {"returning"})
+        fleet.resume(name)
         self.wait_until_open(fleet, "b")
         self.assert_only_left(fleet, {"b"}, (name,))
 
@@ -339,7 +339,7 @@
         fleet.start_zone("b")
         stopped: list[str] = []
         for step in (1, 2, 3, 4):
-            fleet.until(
+            fleet.wait_until(
                 lambda step=step: any(
                     each["zone"] == "b" and each["step"] == step for each in fleet.history()
                 )
@@ -347,8 +347,8 @@
             name = self.last_author(fleet)
             fleet.stop(name)
             # By then another member leads; the stopped one finds that it no longer does.
-            fleet.until(lambda name=name: self.last_author(fleet) != name or fleet.states("b") == {"open"})
-            fleet.go_on(name)
+            fleet.wait_until(lambda name=name: self.last_author(fleet) != name or fleet.states("b") == {"open"})
+            fleet.resume(name)
             stopped.append(name)
         self.wait_until_open(fleet, "b")
         self.assert_only_left(fleet, {"b"}, tuple(stopped))
@@ -358,12 +358,12 @@
         fleet.kill_zone("c")
         self.wait_until_left(fleet, "c")
         fleet.start_zone("c")
-        fleet.until(lambda: fleet.states("c") == {"returning"})
+        fleet.wait_until(lambda: fleet.states("c") == {"returning"})
         lost = next(name for name in fleet.members if name != self.last_author(fleet))
         fleet.kill(lost)
         rest = [name for name in fleet.schedulers if name != lost]
         for step in (2, 3, 4):
-            fleet.until(
+            fleet.wait_until(
                 lambda step=step: any(
                     each["zone"] == "c" and each["step"] >= step for each in fleet.history()
                 )
@@ -372,19 +372,19 @@
             for name in rest:
                 fleet.start(name, wait=False)
             for name in rest:
-                fleet.serving(name)
-            fleet.until(fleet.contact)
+                fleet.wait_until_serving(name)
+            fleet.wait_until(fleet.all_in_contact)
         self.wait_until_open(fleet, "c")
         self.assert_only_left(fleet, {"c"}, tuple(fleet.schedulers))
 
     def test_a_scheduler_is_cut_off_while_a_zone_fails(self) -> None:
         fleet = self.start_fleet(seed=37)
         ends = [*fleet.workers, *fleet.members, "discovery"]
-        fleet.set(fleet.links(["s4"], ends), there=False, back=False)
+        fleet.set_link_state(fleet.links_between(["s4"], ends), there=False, back=False)
         fleet.kill_zone("a")
         others = ["s0", "s1", "s2", "s3"]
-        fleet.until(lambda: fleet.states("a", others) == {"left"})
-        fleet.set(fleet.links(["s4"], ends))
+        fleet.wait_until(lambda: fleet.states("a", others) == {"left"})
+        fleet.set_link_state(fleet.links_between(["s4"], ends))
         fleet.start_zone("a")
         self.wait_until_open(fleet, "a")
         self.assert_only_left(fleet, {"a"})
@@ -394,15 +394,15 @@
         fleet.kill_zone("c")
         self.wait_until_left(fleet, "c")
         fleet.start_zone("c")
-        fleet.until(lambda: fleet.states("c") == {"returning"})
+        fleet.wait_until(lambda: fleet.states("c") == {"returning"})
         fleet.kill("s0", "s1")
-        fleet.until(lambda: not any(fleet.contact([name]) for name in fleet.reached()))
+        fleet.wait_until(lambda: not any(fleet.all_in_contact([name]) for name in fleet.reachable_schedulers()))
         served = len(fleet.records())
-        fleet.until(lambda: len(fleet.records()) > served + 50)  # requests do not wait for the store
+        fleet.wait_until(lambda: len(fleet.records()) > served + 50)  # requests do not wait for the store
         fleet.start("s0", wait=False)
         fleet.start("s1", wait=False)
-        fleet.serving("s0")
-        fleet.serving("s1")
+        fleet.wait_until_serving("s0")
+        fleet.wait_until_serving("s1")
         self.wait_until_open(fleet, "c")
         self.assert_only_left(fleet, {"c"}, ("s0", "s1"))
 
@@ -411,16 +411,16 @@
         fleet.kill_zone("a")
         self.wait_until_left(fleet, "a")
         fleet.start_zone("a")
-        fleet.until(lambda: fleet.states("a") == {"returning"})
+        fleet.wait_until(lambda: fleet.states("a") == {"returning"})
         fleet.stop("s4")
-        fleet.until(lambda: any(each["step"] == 3 for each in fleet.history()))
-        fleet.go_on("s4")
-        fleet.until(fleet.contact)
+        fleet.wait_until(lambda: any(each["step"] == 3 for each in fleet.history()))
+        fleet.resume("s4")
+        fleet.wait_until(fleet.all_in_contact)
         fleet.kill(*fleet.schedulers)
         for name in fleet.schedulers:
             fleet.start(name, wait=False)
         for name in fleet.schedulers:
-            fleet.serving(name)
+            fleet.wait_until_serving(name)
         self.wait_until_open(fleet, "a")
         self.assert_only_left(fleet, {"a"}, tuple(fleet.schedulers))
 
@@ -432,9 +432,9 @@
     def test_a_zone_that_fails_every_other_second_is_left_for_longer_each_time(self) -> None:
         fleet = self.start_fleet(seed=41)
         for _ in range(8):
-            fleet.how("b", "failing")
+            fleet.set_worker_mode("b", "failing")
             time.sleep(1.0)
-            fleet.how("b", "up")
+            fleet.set_worker_mode("b", "up")
             time.sleep(1.0)
         leaves = [each for each in fleet.history() if each["state"] == "leaving"]
         self.assertLessEqual(len(leaves), 3)
@@ -446,24 +446,24 @@
 class OperatorOrders(FleetTestCase):
     """Orders of an operator by the command line."""
 
-    def run_command(self, fleet: Ground, *words: str, at: str = "s4") -> tuple[int, str]:
+    def run_command(self, fleet: ProcessFleet, *words: str, at: str = "s4") -> tuple[int, str]:
         words = ("-m", "spanwing", "zones", *words, "--socket", f"{fleet.path}/{at}.sock")
         process = subprocess.run(
             [sys.executable, *words], cwd=ROOT, capture_output=True, text=True, timeout=30
         )
         return process.returncode, process.stdout + process.stderr
 
-    def give_order(self, fleet: Ground, *words: str, holds) -> None:
+    def give_order(self, fleet: ProcessFleet, *words: str, holds) -> None:
         """Gives an order; repeats it if the contact was lost meanwhile, as the command advises."""
         for _ in range(5):
             code, output = self.run_command(fleet, *words)
             if code == 0 or holds():
                 return
             self.assertRegex(output, "check the state before|cannot be sent to a member of the store")
-            fleet.until(fleet.contact)
+            fleet.wait_until(fleet.all_in_contact)
         self.fail(output)
 
-    def rejection(self, fleet: Ground, *words: str) -> str:
+    def rejection(self, fleet: ProcessFleet, *words: str) -> str:
         code, output = self.run_command(fleet, *words)
         self.assertEqual(code, 1, output)
         self.assertEqual(output.count("\n"), 1, output)
@@ -471,11 +471,11 @@
 
     def test_orders(self) -> None:
         fleet = self.start_fleet(seed=51, regions={"west": ["a", "b"]})
-        before = fleet.zones_of("s4")["revision"]
+        before = fleet.zone_status("s4")["revision"]
         self.assertIn("no zone or region", self.rejection(fleet, "leave", "mars"))
         self.assertIn("not left", self.rejection(fleet, "return", "a"))
         self.assertIn("not held", self.rejection(fleet, "release", "a"))
-        self.assertEqual(fleet.zones_of("s4")["revision"], before)
+        self.assertEqual(fleet.zone_status("s4")["revision"], before)
         self.give_order(fleet, "leave", "a", holds=lambda: fleet.states("a") <= LEAVING_OR_LEFT)
         self.wait_until_left(fleet, "a")
         self.assertIn("already", self.rejection(fleet, "leave", "a"))
@@ -484,14 +484,14 @@
         self.assertEqual(fleet.states("a"), {"left"})
         self.give_order(fleet, "return", "a", holds=lambda: "left" not in fleet.states("a"))
         self.wait_until_open(fleet, "a")
-        is_on_hold = lambda: fleet.zones_of("s4")["zones"]["b"]["held"]  # noqa: E731 - called several times
+        is_on_hold = lambda: fleet.zone_status("s4")["zones"]["b"]["held"]  # noqa: E731 - called several times
         self.give_order(fleet, "hold", "b", holds=is_on_hold)
-        fleet.how("b", "failing")
+        fleet.set_worker_mode("b", "failing")
         time.sleep(3.0)
         self.assertEqual(fleet.states("b"), {"open"})
         self.give_order(fleet, "release", "b", holds=lambda: not is_on_hold())
         self.wait_until_left(fleet, "b")
-        fleet.how("b", "up")
+        fleet.set_worker_mode("b", "up")
         self.wait_until_open(fleet, "b")
         processes = [
             subprocess.Popen(
@@ -515,7 +515,7 @@
         for each in processes:
             each.stderr.close()
         self.assertLessEqual([code for code, _ in results].count(0), 1, results)
-        fleet.until(fleet.contact)
+        fleet.wait_until(fleet.all_in_contact)
         self.assertLess(
             sum(fleet.states(zone) <= LEAVING_OR_LEFT for zone in fleet.zones), 3, "no zone is in use"
         )
@@ -524,7 +524,7 @@
         code, output = self.run_command(fleet, "--json")
         self.assertEqual((code, json.loads(output)["contact"]), (0, True))
         fleet.kill("s0", "s1")
-        fleet.until(lambda: not fleet.contact(["s4"]))
+        fleet.wait_until(lambda: not fleet.all_in_contact(["s4"]))
         self.rejection(fleet, "hold", "c")
         fleet.settle()
 
@@ -537,7 +537,7 @@
 
         def is_left() -> bool:
             """Records in mismatches if the scheduler uses other workers than the share that it follows."""
-            reply = fleet.zones_of("s0")
+            reply = fleet.zone_status("s0")
             zone_status = reply["zones"]["c"]
             if (
                 reply["contact"]
@@ -547,7 +547,7 @@
                 mismatches.append(zone_status)
             return fleet.states("c") == {"left"}
 
-        fleet.until(is_left)
+        fleet.wait_until(is_left)
         self.assertEqual(mismatches, [])
         shares = [each["share"] for each in fleet.history() if each["zone"] == "c"]
         self.assertEqual(shares, sorted(shares, reverse=True))
@@ -600,10 +600,10 @@
             [{"a": [[], [], 1e400, 0]}],
         ):
             renew(payload=payload)  # the lease is granted, the evidence is ignored
-        rejected = fleet.zones_of("s1")["refused"] + fleet.zones_of("s0")["refused"]
+        rejected = fleet.zone_status("s1")["refused"] + fleet.zone_status("s0")["refused"]
         # Evidence from observers whose position is not configured is ignored: they report a failed zone.
-        bad = [short_worker_id(worker_id_of(name)) for name in fleet.of_zone("a")]
-        good = [short_worker_id(worker_id_of(name)) for zone in "bc" for name in fleet.of_zone(zone)]
+        bad = [short_worker_id(worker_id_of(name)) for name in fleet.workers_in_zone("a")]
+        good = [short_worker_id(worker_id_of(name)) for zone in "bc" for name in fleet.workers_in_zone(zone)]
         for number in range(30):
             renew(
                 session=f"x{number % 6}.1",
@@ -612,17 +612,17 @@
                 payload=[{"a": [[], bad, 0, 0], "b": [good[:2], [], 0, 0], "c": [good[2:], [], 0, 0]}],
             )
         self.assertGreater(
-            fleet.zones_of("s1")["refused"]
-            + fleet.zones_of("s0")["refused"]
-            + fleet.zones_of("s2")["refused"],
+            fleet.zone_status("s1")["refused"]
+            + fleet.zone_status("s0")["refused"]
+            + fleet.zone_status("s2")["refused"],
             rejected,
         )
         many = {f"z{number}": [[], [1], 0, 0] for number in range(60)}
         renew(payload=[many])
-        fleet.until(fleet.contact)
+        fleet.wait_until(fleet.all_in_contact)
         self.assertEqual(fleet.history(), [])
         fleet.settle()
-        self.assertEqual(fleet.wrong()[:5], [])
+        self.assertEqual(fleet.rule_violations()[:5], [])
 
 
 class RuleChecker(unittest.TestCase):
@@ -633,26 +633,26 @@
             {"ev": ev, "job": "j", "worker": worker, "how": "up"}
             for ev, worker in (("got", "a"), ("got", "b"), ("done", "b"))
         ]
-        self.assertEqual(len(check.at_once(records)), 1)
-        self.assertEqual(check.at_once(records, {"a"}), [])
-        self.assertEqual(check.at_once([records[0], {**records[0], "ev": "dropped"}, records[1]]), [])
+        self.assertEqual(len(check.concurrent_assignments(records)), 1)
+        self.assertEqual(check.concurrent_assignments(records, {"a"}), [])
+        self.assertEqual(check.concurrent_assignments([records[0], {**records[0], "ev": "dropped"}, records[1]]), [])
 
     def test_a_request_accepted_under_an_earlier_policy_version(self) -> None:
         records = [
             {"ev": "taken", "job": str(number), "scheduler": "s", "version": version}
             for number, version in enumerate((1, 1, 2, 2))
         ]
-        self.assertEqual(check.versions(records), [])
-        self.assertEqual(len(check.versions([*records, records[0]])), 1)
+        self.assertEqual(check.version_regressions(records), [])
+        self.assertEqual(len(check.version_regressions([*records, records[0]])), 1)
 
     def test_a_window_above_its_budget(self) -> None:
-        limits = check.Cold(0.5, 1000.0, 2.0, 100.0, 1, {"x": 60.0})
+        limits = check.WarmUpLimits(0.5, 1000.0, 2.0, 100.0, 1, {"x": 60.0})
         records = [
             {"ev": "got", "worker": "a", "job": str(number), "cls": "x", "t": 1.0 + number / 1000.0}
             for number in range(2)
         ]
-        self.assertEqual(len(check.budgets(records, {"a": [1000.0]}, limits)), 1)
-        self.assertEqual(check.budgets(records[:1], {"a": [1000.0]}, limits), [])
+        self.assertEqual(len(check.exceeded_budgets(records, {"a": [1000.0]}, limits)), 1)
+        self.assertEqual(check.exceeded_budgets(records[:1], {"a": [1000.0]}, limits), [])
 
 
 class SwitchedOff(unittest.TestCase):
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -10,7 +10,7 @@
 from conftest import settings
 
 from measure import policymodel
-from measure.policymodel import World, begun, calm
+from measure.policymodel import World, initial_world, run_without_faults
 from spanwing.core.clock import Clock
 from spanwing.core.messages import ClientDisconnected, FinalAnswer, JobRequest, RequestSubmitted
 from spanwing.core.request_manager import RequestManager
@@ -27,79 +27,80 @@
     """These schedulers renew and receive the replies, `count` times, without a fault."""
     for _ in range(count):
         for index in schedulers:
-            world.do(("renew", index))
-            world.do(("come", index))
-        world.do(("read", world.keeps()))
+            world.apply_step(("renew", index))
+            world.apply_step(("come", index))
+        world.apply_step(("read", world.leader_index()))
         for index in schedulers:
-            world.do(("hear", index))
+            world.apply_step(("hear", index))
 
 
 def run_change(world: World, schedulers: tuple[int, ...]) -> None:
     """These schedulers go through a complete change; the others are silent."""
     renew(world, schedulers, 2)
-    world.do(("decide", world.keeps()))  # closes
+    world.apply_step(("decide", world.leader_index()))  # closes
     renew(world, schedulers, 2)
-    world.do(("decide", world.keeps()))  # ends the change
+    world.apply_step(("decide", world.leader_index()))  # ends the change
     renew(world, schedulers)
 
 
 class ChangeTests(unittest.TestCase):
     def test_all_schedulers_accept_requests_under_the_new_version(self) -> None:
-        world = begun("")
+        world = initial_world("")
         run_change(world, (0, 1, 2))
-        self.assertEqual(world.can_take(), {"s0": 2, "s1": 2, "s2": 2})
+        self.assertEqual(world.acceptable_versions(), {"s0": 2, "s1": 2, "s2": 2})
         outcome = read_policy(world.document).history[-1]
         self.assertEqual((outcome.number, outcome.taken), (2, True))
 
     def test_one_objection_ends_the_change_and_names_the_scheduler(self) -> None:
-        world = begun("")
-        world.schedulers[1].hand.find_objection = lambda text: "class look has open jobs"
+        world = initial_world("")
+        world.schedulers[1].participant.find_objection = lambda text: "class look has open jobs"
         renew(world, (0, 1, 2), 2)
-        world.do(("decide", 0))
+        world.apply_step(("decide", 0))
         policy = read_policy(world.document)
         self.assertEqual((policy.change, policy.now.number), (None, 1))
         self.assertEqual(policy.history[-1].reason, "s1 no: class look has open jobs")
-        calm(world, 2)
-        self.assertEqual(set(world.can_take().values()), {1})
+        run_without_faults(world, 2)
+        self.assertEqual(set(world.acceptable_versions().values()), {1})
 
     def test_a_disconnected_scheduler_blocks_the_change_until_its_permit_expires(self) -> None:
-        world = begun("")
+        world = initial_world("")
         run_change(world, (0, 1))
-        self.assertEqual(set(world.can_take().values()), {1})
+        self.assertEqual(set(world.acceptable_versions().values()), {1})
         self.assertIn(
-            "s2", world.members[0].chair.blocking_schedulers(world.now, world.document, world.members[0])
+            "s2",
+            world.members[0].coordinator.blocking_schedulers(world.now, world.document, world.members[0]),
         )
         for _ in range(3):
-            world.do(("tick", 0))
+            world.apply_step(("tick", 0))
             renew(world, (0, 1))
         run_change(world, (0, 1))
-        self.assertEqual(world.can_take(), {"s0": 2, "s1": 2})
-        calm(world, 3)
-        self.assertEqual(world.can_take()["s2"], 2)
+        self.assertEqual(world.acceptable_versions(), {"s0": 2, "s1": 2})
+        run_without_faults(world, 3)
+        self.assertEqual(world.acceptable_versions()["s2"], 2)
 
     def test_a_change_that_times_out_names_the_scheduler_that_blocked_it(self) -> None:
-        world = begun("")
-        world.do(("decide", 0))
+        world = initial_world("")
+        world.apply_step(("decide", 0))
         for _ in range(5):
-            world.do(("tick", 0))
+            world.apply_step(("tick", 0))
             renew(world, (0, 1))
             world.schedulers[2].lease.renewals_sent.clear()
-            world.do(("renew", 2))
-            world.do(("come", 2))
-            world.do(("read", 0))  # it renews, but never receives the reply
-            world.do(("lose", 2))
-            world.do(("decide", 0))
-        world.do(("decide", 0))
+            world.apply_step(("renew", 2))
+            world.apply_step(("come", 2))
+            world.apply_step(("read", 0))  # it renews, but never receives the reply
+            world.apply_step(("lose", 2))
+            world.apply_step(("decide", 0))
+        world.apply_step(("decide", 0))
         policy = read_policy(world.document)
         self.assertEqual((policy.change, policy.now.number), (None, 1))
         self.assertIn("s2 has not answered", policy.history[-1].reason)
 
     def test_a_scheduler_cut_off_while_closing_queues_and_then_rejects_requests(self) -> None:
-        world = begun("")
+        world = initial_world("")
         renew(world, (0, 1, 2), 2)
-        world.do(("decide", 0))
+        world.apply_step(("decide", 0))
         renew(world, (0, 1, 2))
-        participant, now = world.schedulers[0].hand, world.now
+        participant, now = world.schedulers[0].participant, world.now
         self.assertEqual(
             [
                 participant.decide_admission(now + wait_ms).action
@@ -109,21 +110,21 @@
         )
 
     def test_closing_returns_to_asking_after_its_timeout(self) -> None:
-        world = begun("")
+        world = initial_world("")
         renew(world, (0, 1, 2), 2)
-        world.do(("decide", 0))
+        world.apply_step(("decide", 0))
         self.assertEqual(read_policy(world.document).change.state, "closing")
-        world.do(("decide", 0))  # sees the closing for the first time
-        world.do(("tick", 0))
-        world.do(("decide", 0))
+        world.apply_step(("decide", 0))  # sees the closing for the first time
+        world.apply_step(("tick", 0))
+        world.apply_step(("decide", 0))
         self.assertEqual(
             (read_policy(world.document).change.state, read_policy(world.document).change.revert_count),
             ("asking", 1),
         )
 
     def test_invalid_proposals_are_rejected(self) -> None:
-        world = begun("")
-        coordinator, document = world.members[0].chair, world.document
+        world = initial_world("")
+        coordinator, document = world.members[0].coordinator, world.document
         with self.assertRaisesRegex(ValueError, "version 2 by o is under way"):
             coordinator.propose(document, "x", 1, "p", "", 1000.0, [])
         aborted = document.apply(coordinator.abort(document, "p"))
@@ -139,16 +140,18 @@
             coordinator.abort(aborted, "p")
 
     def test_an_unreadable_record_closes_the_policy(self) -> None:
-        world = begun("")
+        world = initial_world("")
         document = world.document.apply(Transaction("x", {CHANGE_KEY: '{"state": "of a newer program"}'}))
-        participant = world.schedulers[0].hand
+        participant = world.schedulers[0].participant
         participant.update_policy(world.now, read_policy(document))
         self.assertEqual(participant.decide_admission(world.now).action, "refuse")
-        self.assertIsNone(world.members[0].chair.decide_next_change(world.now, document, world.members[0]))
+        self.assertIsNone(
+            world.members[0].coordinator.decide_next_change(world.now, document, world.members[0])
+        )
 
     def test_names_beyond_the_bounds_are_not_registered(self) -> None:
-        world = begun("")
-        coordinator, member = world.members[0].chair, world.members[0]
+        world = initial_world("")
+        coordinator, member = world.members[0].coordinator, world.members[0]
         for session in ("x" * 60 + ".1", ".1"):
             member.sessions[session] = policymodel.Session(world.now, 0)
             coordinator.record_vote(session, PolicyVote(True))
@@ -239,20 +242,20 @@
     """The model's checks find each planted bug, and report nothing without one."""
 
     def permit_without_registration(self, bug: str) -> None:
-        world = begun(bug, new=True)
-        world.do(("start", 2))
+        world = initial_world(bug, new=True)
+        world.apply_step(("start", 2))
         renew(world, (2,))
-        world.do(("take_over", 1))  # a leader without a session of this scheduler
+        world.apply_step(("take_over", 1))  # a leader without a session of this scheduler
         run_change(world, (0, 1))
 
     def later_incarnation_of_a_removed_scheduler(self, bug: str) -> None:
         world = World(bug)
-        calm(world, 3)
-        world.do(("kill", 2))
+        run_without_faults(world, 3)
+        world.apply_step(("kill", 2))
         world.propose(["s2"])
-        world.do(("start", 2))
+        world.apply_step(("start", 2))
         renew(world, (2,))
-        world.do(("decide", 0))
+        world.apply_step(("decide", 0))
         renew(world, (2,))
         run_change(world, (0, 1))
 
@@ -268,10 +271,10 @@
 
     def test_random_walks(self) -> None:
         for seed in range(150):
-            self.assertEqual(policymodel.walk("", seed, 120)[0], "")
+            self.assertEqual(policymodel.random_walk("", seed, 120)[0], "")
         for bug in ("ready-twice", "start", "stopped"):
             with self.subTest(bug):
-                self.assertTrue(any(policymodel.walk(bug, seed, 120)[0] for seed in range(600)))
+                self.assertTrue(any(policymodel.random_walk(bug, seed, 120)[0] for seed in range(600)))
 
     def test_all_interleavings_to_a_depth(self) -> None:
         for new in (False, True):
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from measure.fleet import simulated
-from measure.zoneday import play
+from measure.zoneday import run_day
 from spanwing import interface as api
 from spanwing.scheduler import Scheduler
 from spanwing.store.document import Document, Transaction
@@ -434,20 +434,20 @@
     def test_no_rule_is_violated(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                row = simulated.play(seed)
+                row = simulated.run_world(seed)
                 self.assertEqual((row["wrong"], row["last"]), ([], "open"))
 
     def test_the_same_seed_gives_the_same_run(self) -> None:
-        self.assertEqual(simulated.play(3), simulated.play(3))
+        self.assertEqual(simulated.run_world(3), simulated.run_world(3))
 
     def test_planted_bugs_are_found_in_returns(self) -> None:
         for bug, seed in (("no-lease", 17), ("no-wait", 22), ("no-acknowledge", 16)):
             with self.subTest(bug):
-                self.assertEqual(simulated.play(seed, aim="return")["wrong"], [])
-                self.assertNotEqual(simulated.play(seed, (bug,), aim="return")["wrong"], [])
+                self.assertEqual(simulated.run_world(seed, aim="return")["wrong"], [])
+                self.assertNotEqual(simulated.run_world(seed, (bug,), aim="return")["wrong"], [])
 
     def test_the_simulation_leaves_and_returns_within_its_budgets(self) -> None:
-        row = play("fleet-zone", 4, "together")
+        row = run_day("fleet-zone", 4, "together")
         self.assertLess(row["decided_ms"], 4000.0)
         self.assertIsNotNone(row["open_ms"])
         self.assertEqual((row["falls"], row["false_alarms"]), (0, 0))
