--- a/measure/daemons.py
+++ b/measure/daemons.py
@@ -18,7 +18,7 @@
 START_S = 20.0
 ALL_FRONTS = ("health", "agent_check", "feedback", "grpc", "faktory")
 Place = tuple[str, int]
-TICKS = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 def settings(classes: list[dict[str, Any]] | None = None, **more: Any) -> dict[str, Any]:
@@ -190,7 +190,7 @@
 
     def cpu_s(self) -> float:
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / TICKS
+        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
     def close(self) -> None:
         super().close()
--- a/measure/fleet/followers.py
+++ b/measure/fleet/followers.py
@@ -17,7 +17,7 @@
 import click
 from tornado.ioloop import IOLoop
 
-from measure.daemons import ROOT, TICKS
+from measure.daemons import CLOCK_TICKS_PER_S, ROOT
 from measure.fleet.ground import HOST, Ground
 from spanwing.actor import spawn_task
 from spanwing.net.address import Address
@@ -113,7 +113,7 @@
 def cpu_s(ground: Ground, name: str) -> float:
     with open(f"/proc/{ground.process(name).pid}/stat") as file:
         fields = file.read().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 def measure(count: int) -> str:
--- a/measure/polled.py
+++ b/measure/polled.py
@@ -18,7 +18,7 @@
 import click
 
 from measure.balancers import PROTOCOLS, Backend
-from measure.daemons import TICKS
+from measure.daemons import CLOCK_TICKS_PER_S
 
 LOOK_S, EVERY_S = 0.2, 1.0
 OPENED = re.compile(r"spanwing: (health|agent_check|feedback|grpc) on (.*):(\d+)")
@@ -53,7 +53,7 @@
     peak = re.search(r"VmHWM:\s+(\d+) kB", Path(f"/proc/{pid}/status").read_text())
     if peak is None:
         raise ProcessLookupError
-    return (int(fields[11]) + int(fields[12])) / TICKS, int(peak[1]) / 1024
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S, int(peak[1]) / 1024
 
 
 async def follow(logs: Path | None, seconds: float) -> tuple[dict[int, Seen], int]:
