--- a/measure/cpu.py
+++ b/measure/cpu.py
@@ -243,7 +243,7 @@
         await running
         polling.cancel()
         # What a balancer has heard of it: the first lower weight after the log says why it is lower.
-        shorts = [when for when, state in states(daemon.said()) if state == "short"]
+        shorts = [when for when, state in states(daemon.stderr_text()) if state == "short"]
         said = next((when for when, weight in heard if weight < 100 and shorts and when >= shorts[0]), None)
         late = [due + took for due, took, _ in load.done[early:] if took > WANTED_S and due + took > at]
         short = None if said is None else -1.0 if said < at else said - at
--- a/measure/daemons.py
+++ b/measure/daemons.py
@@ -113,7 +113,7 @@
                     return True
         return False
 
-    def said(self) -> str:
+    def stderr_text(self) -> str:
         self.errors.seek(0)
         return self.errors.read()
 
@@ -174,7 +174,7 @@
         text += f'[admin]\nsocket = "{self.admin}"\n' if admin else ""
         super().__init__(config, f"{text}{balancers}\n", cpus, command)
         if not self.serving():
-            raise RuntimeError(f"{name} did not start: {self.said()}")
+            raise RuntimeError(f"{name} did not start: {self.stderr_text()}")
 
     def command(self, **ask: Any) -> dict[str, Any]:
         return client.send_command(self.admin, **ask)
--- a/measure/fleet/ground.py
+++ b/measure/fleet/ground.py
@@ -278,7 +278,7 @@
         serves = program.serving()
         late.cancel()
         if not serves:
-            raise RuntimeError(f"{name} did not start: {program.said()}")
+            raise RuntimeError(f"{name} did not start: {program.stderr_text()}")
         self.starting.discard(name)
         self.lead({f"{worker}>{name}": program.addresses["clients"][1] for worker in self.workers})
         if "clients" in self.parts:
@@ -298,7 +298,7 @@
         if name in self.programs:
             program = self.programs.pop(name)
             with open(self.path / f"{name}.events", "a") as file:
-                file.write(program.said())
+                file.write(program.stderr_text())
             program.close()
 
     def stop(self, *names: str) -> None:
--- a/measure/fleet/long.py
+++ b/measure/fleet/long.py
@@ -31,7 +31,7 @@
     """By scheduler, when it heard of each state of the zone."""
     found: dict[str, list[tuple[float, str]]] = {}
     for name in ground.reached():
-        for line in ground.programs[name].said().splitlines():
+        for line in ground.programs[name].stderr_text().splitlines():
             try:
                 told = json.loads(line)
             except ValueError:
--- a/measure/management.py
+++ b/measure/management.py
@@ -78,7 +78,7 @@
         "",
     )
     if not await asyncio.to_thread(daemon.serving):
-        raise RuntimeError(daemon.said())
+        raise RuntimeError(daemon.stderr_text())
     clients, place = daemon.addresses["clients"], daemon.addresses["management"]
     rows = ["| state | call | p50 ms | p99 ms | most ms | calls |", "| --- | --- | --- | --- | --- | --- |"]
     lanes: list[asyncio.Task] = []
--- a/measure/replacements.py
+++ b/measure/replacements.py
@@ -46,7 +46,7 @@
     left_s: list[float] = field(default_factory=list)
     memory_mb: float = 0.0
     descriptors: int = 0
-    said: str = ""
+    stderr_text: str = ""
 
 
 class Lane:
@@ -103,7 +103,7 @@
         self.places = await self.workers.start(8)
         first = await asyncio.to_thread(self.start)
         if not await asyncio.to_thread(first.serving):
-            raise RuntimeError(first.said())
+            raise RuntimeError(first.stderr_text())
         self.tasks = [asyncio.ensure_future(self._client(n)) for n in range(self.clients)]
         self.looks = asyncio.ensure_future(self._look())
         return first
@@ -113,7 +113,7 @@
         at = time.monotonic()
         new = await asyncio.to_thread(self.start)
         if not await asyncio.to_thread(new.serving):
-            raise RuntimeError(new.said())
+            raise RuntimeError(new.stderr_text())
         await self.until_yes(new, at + YES_S)
         self.result.yes_s.append(time.monotonic() - at)
         await self.end(old)
@@ -123,7 +123,7 @@
     async def until_yes(self, process: Program, end: float) -> None:
         while not await self.yes(process):
             if time.monotonic() > end:
-                raise RuntimeError(f"no yes: {process.said()}")
+                raise RuntimeError(f"no yes: {process.stderr_text()}")
             await asyncio.sleep(0.01)
 
     async def yes(self, process: Program) -> bool:
@@ -146,7 +146,7 @@
 
     def drop(self, ended: Program) -> None:
         self.running.remove(ended)
-        self.result.said += ended.said()
+        self.result.stderr_text += ended.stderr_text()
         ended.close()
 
     async def close(self) -> Result:
@@ -281,7 +281,9 @@
     ):
         result = asyncio.run(lane(times, 1, clients, **limits))
         lines.append(row(name, limits, result))
-        click.echo(f"{lines[-1]}\n{dict(result.met)} {dict(result.answers)}\n{result.said[-2000:]}", err=True)
+        click.echo(
+            f"{lines[-1]}\n{dict(result.met)} {dict(result.answers)}\n{result.stderr_text[-2000:]}", err=True
+        )
     table = "\n".join(lines) + "\n"
     if out is None:
         click.echo(table)
--- a/measure/soak/fleet.py
+++ b/measure/soak/fleet.py
@@ -201,7 +201,7 @@
         )
         self.programs[name] = program
         if not await asyncio.to_thread(program.serving):
-            self.exits.append(f"{name} did not start: {program.said()}")
+            self.exits.append(f"{name} did not start: {program.stderr_text()}")
             return
         self.records.starts.append((name, begun_s))
         port = program.addresses["clients"][1]
@@ -265,7 +265,7 @@
 
     def _keep_log(self, name: str) -> None:
         program = self.programs.pop(name)
-        self.logs[name] += program.said()
+        self.logs[name] += program.stderr_text()
         program.close()
 
     async def stop(self) -> None:
--- a/tests/player.py
+++ b/tests/player.py
@@ -88,7 +88,7 @@
         """Wait for the line that says the daemon takes clients."""
         with self.patience():
             if not self.serving():
-                raise AssertionError(f"the daemon did not start: {self.said()}")
+                raise AssertionError(f"the daemon did not start: {self.stderr_text()}")
         self.small = self.resident()
         return self
 
@@ -172,9 +172,9 @@
                     try:
                         self.step(line)
                     except (AssertionError, OSError) as error:
-                        said = self.daemon.said() if self.daemon else ""
+                        said = self.daemon.stderr_text() if self.daemon else ""
                         raise AssertionError(f"{self.path.name}:{number}: {line}\n{error}\n{said}") from error
-            said = self.daemon.said()
+            said = self.daemon.stderr_text()
             assert "Traceback" not in said and "fault" not in said, said
         finally:
             for each in self.sockets.values():
@@ -273,8 +273,8 @@
     def do_said(self, *text: str) -> None:
         """Wait for a line on standard error: a signal is an event that no socket tells."""
         with self.daemon.patience():
-            while " ".join(text) not in self.daemon.said():
-                assert self.daemon.process.poll() is None, self.daemon.said()
+            while " ".join(text) not in self.daemon.stderr_text():
+                assert self.daemon.process.poll() is None, self.daemon.stderr_text()
                 time.sleep(0.01)
 
     def do_until(self, front: str, method: str, target: str, status: str) -> None:
@@ -306,7 +306,7 @@
         assert code == int(status), f"it ended with {code}"
 
     def do_error(self, *text: str) -> None:
-        said = self.daemon.said()
+        said = self.daemon.stderr_text()
         assert matches(" ".join(text), said.strip()), f"it said {said!r}"
 
     def do_printed(self, *text: str) -> None:
--- a/tests/test_balancers.py
+++ b/tests/test_balancers.py
@@ -69,7 +69,7 @@
             members = [member("w1", worker.getsockname()[1])]
         started = Daemon({**config(members, **settings), "name": name}, fronts).ready()
         self.addCleanup(started.close)
-        self.addCleanup(lambda: self.assertNotIn("Traceback", started.said()))
+        self.addCleanup(lambda: self.assertNotIn("Traceback", started.stderr_text()))
         return started
 
     def table(self, **listeners: str) -> str:
@@ -177,7 +177,7 @@
         def reload(text: str, said: str) -> None:
             fronts.write_text(text)
             daemon.process.send_signal(signal.SIGHUP)
-            self.until(lambda: said in daemon.said(), said)
+            self.until(lambda: said in daemon.stderr_text(), said)
 
         reload(
             self.table(health=f"127.0.0.1:{two}", agent_check=f"127.0.0.1:{busy}") + admin,
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -133,7 +133,7 @@
         second = Daemon(config(self.members), f'[admin]\nsocket = "{self.socket}"\n')
         self.addCleanup(second.close)
         self.assertEqual(second.wait()[0], 2)
-        self.assertIn("admin.socket: cannot listen", second.said())
+        self.assertIn("admin.socket: cannot listen", second.stderr_text())
         first.process.kill()
         first.process.wait()
         self.run_command("status", status=3)
--- a/tests/test_golden_folder.py
+++ b/tests/test_golden_folder.py
@@ -46,7 +46,7 @@
 
 
 def test_the_journal_and_the_policy_are_those_of_the_earlier_daemon(running) -> None:
-    said = running.daemon.said()
+    said = running.daemon.stderr_text()
     assert "possibly_sent request=job-left-open" in said, said
     assert "skipped" not in said and "Traceback" not in said, said
     shown = {
--- a/tests/test_grpc.py
+++ b/tests/test_grpc.py
@@ -231,7 +231,7 @@
             self.assertEqual(next(watch).status, health_pb2.HealthCheckResponse.NOT_SERVING)
             self.assertEqual(stub.Check(asked, timeout=PATIENCE_S).status, 2)
         self.assertEqual(daemon.wait()[0], 0)
-        self.assertNotIn("Traceback", daemon.said())
+        self.assertNotIn("Traceback", daemon.stderr_text())
 
 
 if __name__ == "__main__":
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -34,8 +34,8 @@
         self.assertEqual({name: result.met[name] for name in broken if result.met[name]}, {})
         self.assertEqual(result.twice, 0)
         self.assertEqual(result.answers["another's"], 0)
-        self.assertNotIn("Traceback", result.said)
-        self.assertNotIn("fault", result.said)
+        self.assertNotIn("Traceback", result.stderr_text)
+        self.assertNotIn("fault", result.stderr_text)
 
     async def until(self, holds, what: str) -> None:
         end = time.monotonic() + PATIENCE_S
@@ -155,7 +155,7 @@
         old.process.wait()
         lane.drop(old)  # its socket's name is left in the folder
         new = await asyncio.to_thread(lane.start)
-        self.assertTrue(await asyncio.to_thread(new.serving), new.said())
+        self.assertTrue(await asyncio.to_thread(new.serving), new.stderr_text())
         self.assertEqual(await self.ask(lane, "status-read", 1), b"200")
         await self.closed(lane)
 
@@ -164,7 +164,7 @@
         old.process.send_signal(signal.SIGSTOP)
         at = time.monotonic()
         new = await asyncio.to_thread(lane.start)
-        self.assertTrue(await asyncio.to_thread(new.serving), new.said())
+        self.assertTrue(await asyncio.to_thread(new.serving), new.stderr_text())
         await lane.until_yes(new, at + 6.0)
         self.assertEqual(await self.ask(lane, "status-read", 1), b"200")
         old.process.kill()
@@ -176,7 +176,7 @@
         """Both processes follow the new file, and the replacement goes on."""
         lane, old = await self.opened()
         new = await asyncio.to_thread(lane.start)
-        self.assertTrue(await asyncio.to_thread(new.serving), new.said())
+        self.assertTrue(await asyncio.to_thread(new.serving), new.stderr_text())
         for each in (old, new):
             file = Path(each.folder.name) / "config.json"
             each.write({**json.loads(file.read_text()), "discovery": "127.0.0.1:10"})
@@ -193,7 +193,7 @@
         asked = [asyncio.ensure_future(self.ask(lane, "status-read", number)) for number in range(8)]
         await self.until(lambda: len(lane.workers.ran) == 8, "all have been sent")
         new = await asyncio.to_thread(lane.start)
-        self.assertTrue(await asyncio.to_thread(new.serving), new.said())
+        self.assertTrue(await asyncio.to_thread(new.serving), new.stderr_text())
         await lane.until_yes(new, time.monotonic() + PATIENCE_S)
         old.process.terminate()
         new.process.kill()
@@ -222,7 +222,7 @@
         place.write_bytes(b"left by another version")
         at = time.monotonic()
         new = await asyncio.to_thread(lane.start)
-        self.assertTrue(await asyncio.to_thread(new.serving), new.said())
+        self.assertTrue(await asyncio.to_thread(new.serving), new.stderr_text())
         await lane.until_yes(new, at + 6.0)
         await lane.end(current)
         self.assertEqual(await self.ask(lane, "status-read", 2), b"200")
@@ -234,9 +234,11 @@
             for fd, why in ((file.fileno(), "Bad file descriptor"), (0, "Socket operation on non-socket")):
                 wrong = await asyncio.to_thread(lane.start, fd)
                 self.assertEqual(await asyncio.to_thread(wrong.process.wait, PATIENCE_S), 2)
-                self.assertRegex(wrong.said(), rf"^spanwing: ROUTER_FD: cannot listen on {fd}: {why}\n$")
+                self.assertRegex(
+                    wrong.stderr_text(), rf"^spanwing: ROUTER_FD: cannot listen on {fd}: {why}\n$"
+                )
                 lane.drop(wrong)
-        lane.result.said = ""
+        lane.result.stderr_text = ""
         self.assertEqual(await self.ask(lane, "status-read", 1), b"200")
         await self.closed(lane)
 
@@ -256,7 +258,7 @@
             plain = Program(config(), "", command=("-c", code), environment={"TMPDIR": folder})
             self.addCleanup(plain.close)
             said = await asyncio.to_thread(plain.process.stdout.read)
-        self.assertEqual(said.splitlines()[-1], "[] 1 []", plain.said())
+        self.assertEqual(said.splitlines()[-1], "[] 1 []", plain.stderr_text())
 
 
 if __name__ == "__main__":
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -78,7 +78,7 @@
         for each in idle + stalled:
             each.close()
         self.assertLess(max(response_times_s), 1.0)
-        self.assertNotIn("Traceback", daemon.said())
+        self.assertNotIn("Traceback", daemon.stderr_text())
 
     def test_responds_to_a_caller_among_many_with_incomplete_requests(self) -> None:
         """All callers connect while the daemon is stopped by a signal.
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -130,7 +130,7 @@
         # Without a valid header, the connection is closed and no request is read.
         for invalid in (up_request, with_checksum(checksum_error=1) + up_request, V1_HEADER[:20]):
             self.assertEqual(self.send(daemon, "clients", invalid), b"")
-        self.assertIn("proxy peer=127.0.0.1 reason=wrong checksum", daemon.said())
+        self.assertIn("proxy peer=127.0.0.1 reason=wrong checksum", daemon.stderr_text())
 
     def test_other_peers_cannot_forge_an_address(self) -> None:
         daemon = self.start_daemon("192.0.2.0/24")
--- a/tests/test_termination_races.py
+++ b/tests/test_termination_races.py
@@ -220,7 +220,7 @@
     def stop(self) -> None:
         """Stops the daemon and checks its log."""
         if not self.daemon.errors.closed:
-            log = self.daemon.said()
+            log = self.daemon.stderr_text()
             self.daemon.close()
             self.assertNotIn("Traceback", log)
             self.assertNotIn("fault", log)
