--- a/measure/cost.py
+++ b/measure/cost.py
@@ -97,7 +97,7 @@
         (
             each.name,
             1000 * (each.cpu_s() - cpu) / took / SCHEDULERS,
-            max(daemon.resident() for daemon in each.daemons),
+            max(daemon.peak_memory_mb() for daemon in each.daemons),
             len(each.balancer.sent) - count,
         )
         for each, (cpu, count) in zip(sets, before, strict=True)
--- a/measure/daemons.py
+++ b/measure/daemons.py
@@ -117,7 +117,7 @@
         self.errors.seek(0)
         return self.errors.read()
 
-    def resident(self) -> float:
+    def peak_memory_mb(self) -> float:
         """The most memory that it has held, in MB."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         return int(re.search(r"VmHWM:\s+(\d+) kB", status)[1]) / 1024
--- a/tests/player.py
+++ b/tests/player.py
@@ -89,7 +89,7 @@
         with self.patience():
             if not self.serving():
                 raise AssertionError(f"the daemon did not start: {self.stderr_text()}")
-        self.small = self.resident()
+        self.small = self.peak_memory_mb()
         return self
 
     @contextmanager
@@ -264,7 +264,7 @@
             self.sockets[name].sendall(bytes(60000))
 
     def do_grown(self, most: str) -> None:
-        grown = self.daemon.resident() - self.daemon.small
+        grown = self.daemon.peak_memory_mb() - self.daemon.small
         assert grown < float(most), f"{grown:.1f} MB more"
 
     def do_rewrite(self) -> None:
--- a/tests/test_balancers.py
+++ b/tests/test_balancers.py
@@ -237,7 +237,7 @@
             stop.set()
             clients.join()
         self.assertTrue(served and all(served))
-        self.assertLess(daemon.resident() - daemon.small, 16)
+        self.assertLess(daemon.peak_memory_mb() - daemon.small, 16)
 
     def test_half_closed_and_asking_checks(self) -> None:
         fronts = '[agent_check]\nlisten = "127.0.0.1:0"\nasks = true\nmaxconn = true\n'
