--- a/measure/balancers.py
+++ b/measure/balancers.py
@@ -28,7 +28,7 @@
 Place = tuple[str, int]
 
 
-class Seen(NamedTuple):
+class CheckResult(NamedTuple):
     """What one check saw."""
 
     up: bool | None = None  # None: it says nothing of it
@@ -48,7 +48,7 @@
     drain: bool = False
     streak: int = 0
 
-    def take(self, seen: Seen) -> None:
+    def take(self, seen: CheckResult) -> None:
         if seen.weight is not None:
             self.weight = seen.weight
         if seen.drain is not None:
@@ -65,7 +65,7 @@
         return self.weight if self.up and not self.drain else 0
 
 
-def agent_reply(line: str) -> Seen:
+def agent_reply(line: str) -> CheckResult:
     """HAProxy's words: a percentage, ready, drain, maint, up, down, failed, stopped, maxconn:N."""
     up = weight = drain = None
     for word in re.split(r"[ \t,]+", line.strip()):
@@ -84,7 +84,7 @@
             raise ValueError(f"unknown word {word!r}")
         if "#" in word:
             break  # the rest of the line is a comment
-    return Seen(up, weight, drain, at_once=True)
+    return CheckResult(up, weight, drain, at_once=True)
 
 
 async def exchange(place: Place, data: bytes) -> bytes:
@@ -97,27 +97,27 @@
         writer.close()
 
 
-async def agent(place: Place) -> Seen:
+async def agent(place: Place) -> CheckResult:
     return agent_reply((await exchange(place, b"")).decode())
 
 
-async def feedback(place: Place) -> Seen:
+async def feedback(place: Place) -> CheckResult:
     weight = int((await exchange(place, b"")).strip().rstrip(b"%"))
-    return Seen(weight=weight, drain=weight == 0)
+    return CheckResult(weight=weight, drain=weight == 0)
 
 
-def http_reply(answer: bytes) -> Seen:
+def http_reply(answer: bytes) -> CheckResult:
     head = answer.partition(b"\r\n\r\n")[0].decode("latin-1").lower()
     status = int(head.split(" ")[1])
-    return Seen(200 <= status < 400, at_once="x-envoy-immediate-health-check-fail: true" in head)
+    return CheckResult(200 <= status < 400, at_once="x-envoy-immediate-health-check-fail: true" in head)
 
 
-async def haproxy_http(place: Place) -> Seen:
+async def haproxy_http(place: Place) -> CheckResult:
     """`option httpchk` without more."""
     return http_reply(await exchange(place, b"OPTIONS / HTTP/1.0\r\n\r\n"))._replace(at_once=False)
 
 
-async def keepalived(place: Place) -> Seen:
+async def keepalived(place: Place) -> CheckResult:
     request = b"GET /health HTTP/1.0\r\nHost: x\r\nUser-Agent: KeepAliveClient\r\n\r\n"
     return http_reply(await exchange(place, request))._replace(at_once=False)
 
@@ -128,7 +128,7 @@
     def __init__(self) -> None:
         self.streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
-    async def __call__(self, place: Place) -> Seen:
+    async def __call__(self, place: Place) -> CheckResult:
         if self.streams is None or self.streams[0].at_eof():
             self.streams = await asyncio.open_connection(*place)
             self.fresh()
@@ -142,12 +142,12 @@
     def fresh(self) -> None:
         """The connection is a new one."""
 
-    async def ask(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> Seen:
+    async def ask(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> CheckResult:
         raise NotImplementedError
 
 
 class EnvoyHttp(Kept):
-    async def ask(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> Seen:
+    async def ask(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> CheckResult:
         writer.write(b"GET /ready HTTP/1.1\r\nHost: x\r\nUser-Agent: Envoy/HC\r\n\r\n")
         head = await reader.readuntil(b"\r\n\r\n")
         await reader.readexactly(int(re.search(rb"content-length: (\d+)", head.lower())[1]))
@@ -187,14 +187,14 @@
             raise ConnectionResetError
         return self.h2.receive_data(data)
 
-    async def ask(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> Seen:
+    async def ask(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> CheckResult:
         stream, statuses = self.call(), []
         while True:
             for event in await self.events(reader, writer):
                 if isinstance(event, DataReceived):
                     statuses.append(event.data[-1])
                 if isinstance(event, StreamEnded) and event.stream_id == stream:
-                    return Seen(statuses == [1])
+                    return CheckResult(statuses == [1])
 
 
 class GrpcWatch(Grpc):
@@ -267,21 +267,21 @@
             if self.protocol.check is None:
                 with suppress(OSError, ProtocolError):
                     await GrpcWatch().follow(self.check, self._watched)
-                self.judge.take(Seen(False))
+                self.judge.take(CheckResult(False))
                 await asyncio.sleep(0.1)
                 continue
             begun = time.monotonic()
             try:
                 seen = await asyncio.wait_for(self.ask(self.check), CHECK_S)
             except (OSError, TimeoutError, IndexError, ValueError, EOFError, ProtocolError) as error:
-                seen = Seen(None if self.protocol.check in (agent, feedback) else False)
+                seen = CheckResult(None if self.protocol.check in (agent, feedback) else False)
                 self.wrong.append(repr(error))
             self.judge.take(seen)
             self.checked_at = time.monotonic()
             await asyncio.sleep(max(0.0, begun + self.protocol.inter_s - time.monotonic()))
 
     def _watched(self, status: int) -> None:
-        self.judge.take(Seen(status == 1, at_once=True))
+        self.judge.take(CheckResult(status == 1, at_once=True))
         self.checked_at = time.monotonic()
 
 
--- a/measure/cost.py
+++ b/measure/cost.py
@@ -17,7 +17,7 @@
 
 import click
 
-from measure.balancers import PROTOCOLS, Backend, Balancer, Seen
+from measure.balancers import PROTOCOLS, Backend, Balancer, CheckResult
 from measure.daemons import Daemon
 from measure.workers import Workers
 
@@ -26,9 +26,9 @@
 FRONTS = ("health", "agent_check", "feedback", "grpc")
 
 
-async def fixed(place) -> Seen:
+async def fixed(place) -> CheckResult:
     """A balancer that looks at nothing."""
-    return Seen()
+    return CheckResult()
 
 
 class Set:
--- a/measure/cpu.py
+++ b/measure/cpu.py
@@ -29,7 +29,7 @@
 
 import click
 
-from measure.balancers import PROTOCOLS, Backend, Balancer, Seen, agent
+from measure.balancers import PROTOCOLS, Backend, Balancer, CheckResult, agent
 from measure.daemons import Daemon
 from measure.workers import Workers
 
@@ -132,9 +132,9 @@
         self.done.append((due, time.monotonic() - due, sent.answers if sent else []))
 
 
-async def fixed(place) -> Seen:
+async def fixed(place) -> CheckResult:
     """A balancer that looks at nothing."""
-    return Seen()
+    return CheckResult()
 
 
 def backend(daemon: Daemon, weighted: bool) -> Backend:
--- a/tests/test_balancers.py
+++ b/tests/test_balancers.py
@@ -20,7 +20,7 @@
 from player import PATIENCE_S, ROOT, Daemon, config, member
 from standins import FaktorySpeaker
 
-from measure.balancers import PROTOCOLS, Backend, Judge, Seen, agent_reply
+from measure.balancers import PROTOCOLS, Backend, CheckResult, Judge, agent_reply
 from measure.drains import Lane
 from spanwing.cli import client
 from spanwing.health.settings import HealthSettings
@@ -423,9 +423,9 @@
 
 class Small(unittest.TestCase):
     def test_stand_ins_read_answers_as_the_specifications_have_it(self) -> None:
-        self.assertEqual(agent_reply("ready up 40% maxconn:9\n"), Seen(True, 40, False, True))
+        self.assertEqual(agent_reply("ready up 40% maxconn:9\n"), CheckResult(True, 40, False, True))
         self.assertEqual(agent_reply("drain\n").drain, True)
-        self.assertEqual(agent_reply("down#no 90% up\n"), Seen(False, None, None, True))
+        self.assertEqual(agent_reply("down#no 90% up\n"), CheckResult(False, None, None, True))
         with self.assertRaises(ValueError):
             agent_reply("fine")
         judge = Judge(rise=2, fall=3)
@@ -439,7 +439,7 @@
             (True, False),
             (True, True),
         ):
-            judge.take(Seen(up))
+            judge.take(CheckResult(up))
             self.assertEqual(judge.up, told)
         self.assertEqual(Backend("a", ("", 0), ("", 0), PROTOCOLS["envoy-http"]).judge.share, 100)
 
