--- a/measure/balancers.py
+++ b/measure/balancers.py
@@ -38,7 +38,7 @@
 
 
 @dataclass
-class Judge:
+class HealthTracker:
     """rise and fall, as HAProxy, keepalived and Envoy count them."""
 
     rise: int
@@ -48,7 +48,7 @@
     drain: bool = False
     streak: int = 0
 
-    def take(self, seen: CheckResult) -> None:
+    def record(self, seen: CheckResult) -> None:
         if seen.weight is not None:
             self.weight = seen.weight
         if seen.drain is not None:
@@ -61,7 +61,7 @@
             self.up, self.streak = seen.up, 0
 
     @property
-    def share(self) -> int:
+    def effective_weight(self) -> int:
         return self.weight if self.up and not self.drain else 0
 
 
@@ -254,7 +254,7 @@
 
     def __init__(self, name: str, clients: Place, check: Place, protocol: Protocol) -> None:
         self.name, self.clients, self.check, self.protocol = name, clients, check, protocol
-        self.judge = Judge(protocol.rise, protocol.fall)
+        self.health_tracker = HealthTracker(protocol.rise, protocol.fall)
         check = protocol.check
         self.ask = check() if isinstance(check, type) else check  # one that keeps its connection is its own
         self.idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
@@ -267,7 +267,7 @@
             if self.protocol.check is None:
                 with suppress(OSError, ProtocolError):
                     await GrpcWatch().follow(self.check, self._watched)
-                self.judge.take(CheckResult(False))
+                self.health_tracker.record(CheckResult(False))
                 await asyncio.sleep(0.1)
                 continue
             begun = time.monotonic()
@@ -276,12 +276,12 @@
             except (OSError, TimeoutError, IndexError, ValueError, EOFError, ProtocolError) as error:
                 seen = CheckResult(None if self.protocol.check in (agent, feedback) else False)
                 self.wrong.append(repr(error))
-            self.judge.take(seen)
+            self.health_tracker.record(seen)
             self.checked_at = time.monotonic()
             await asyncio.sleep(max(0.0, begun + self.protocol.inter_s - time.monotonic()))
 
     def _watched(self, status: int) -> None:
-        self.judge.take(CheckResult(status == 1, at_once=True))
+        self.health_tracker.record(CheckResult(status == 1, at_once=True))
         self.checked_at = time.monotonic()
 
 
@@ -296,8 +296,14 @@
         self.tasks = [asyncio.ensure_future(each.follow()) for each in backends]
 
     def pick(self, but: set[str] = frozenset()) -> Backend | None:
-        fit = [each for each in self.backends if each.judge.share and each.name not in but]
-        return self.random.choices(fit, [each.judge.share for each in fit])[0] if fit else None
+        fit = [
+            each for each in self.backends if each.health_tracker.effective_weight and each.name not in but
+        ]
+        return (
+            self.random.choices(fit, [each.health_tracker.effective_weight for each in fit])[0]
+            if fit
+            else None
+        )
 
     async def request(self, number: str, cls: str, budget_ms: int, body: bytes = b"") -> Sent | None:
         """One client's request, sent on after a refusal to each other backend once."""
--- a/measure/drains.py
+++ b/measure/drains.py
@@ -123,7 +123,7 @@
         return self.result
 
     async def drain(self, backend: Backend) -> None:
-        while not backend.judge.share:
+        while not backend.health_tracker.effective_weight:
             await asyncio.sleep(0.02)
         await asyncio.sleep(self.random.uniform(0.2, 0.8))
         if self.protocol.check is not None and self.random.random() < 0.5:  # the worst moment: just checked
--- a/tests/test_balancers.py
+++ b/tests/test_balancers.py
@@ -20,7 +20,7 @@
 from player import PATIENCE_S, ROOT, Daemon, config, member
 from standins import FaktorySpeaker
 
-from measure.balancers import PROTOCOLS, Backend, CheckResult, Judge, agent_reply
+from measure.balancers import PROTOCOLS, Backend, CheckResult, HealthTracker, agent_reply
 from measure.drains import Lane
 from spanwing.cli import client
 from spanwing.health.settings import HealthSettings
@@ -428,7 +428,7 @@
         self.assertEqual(agent_reply("down#no 90% up\n"), CheckResult(False, None, None, True))
         with self.assertRaises(ValueError):
             agent_reply("fine")
-        judge = Judge(rise=2, fall=3)
+        judge = HealthTracker(rise=2, fall=3)
         for up, told in (
             (False, True),
             (False, True),
@@ -439,9 +439,11 @@
             (True, False),
             (True, True),
         ):
-            judge.take(CheckResult(up))
+            judge.record(CheckResult(up))
             self.assertEqual(judge.up, told)
-        self.assertEqual(Backend("a", ("", 0), ("", 0), PROTOCOLS["envoy-http"]).judge.share, 100)
+        self.assertEqual(
+            Backend("a", ("", 0), ("", 0), PROTOCOLS["envoy-http"]).health_tracker.effective_weight, 100
+        )
 
     def test_lines_are_bounded_in_rate_and_kinds(self) -> None:
         limiter = RateLimiter(1.0, 2.0)
