--- a/measure/balancers.py
+++ b/measure/balancers.py
@@ -65,7 +65,7 @@
         return self.weight if self.up and not self.drain else 0
 
 
-def agent_reply(line: str) -> CheckResult:
+def parse_agent_reply(line: str) -> CheckResult:
     """HAProxy's words: a percentage, ready, drain, maint, up, down, failed, stopped, maxconn:N."""
     up = weight = drain = None
     for word in re.split(r"[ \t,]+", line.strip()):
@@ -98,7 +98,7 @@
 
 
 async def agent(place: Place) -> CheckResult:
-    return agent_reply((await exchange(place, b"")).decode())
+    return parse_agent_reply((await exchange(place, b"")).decode())
 
 
 async def feedback(place: Place) -> CheckResult:
--- a/tests/test_balancers.py
+++ b/tests/test_balancers.py
@@ -20,7 +20,7 @@
 from player import PATIENCE_S, ROOT, Daemon, config, member
 from standins import FaktorySpeaker
 
-from measure.balancers import PROTOCOLS, Backend, CheckResult, HealthTracker, agent_reply
+from measure.balancers import PROTOCOLS, Backend, CheckResult, HealthTracker, parse_agent_reply
 from measure.drains import Lane
 from spanwing.cli import client
 from spanwing.health.settings import HealthSettings
@@ -423,11 +423,11 @@
 
 class Small(unittest.TestCase):
     def test_stand_ins_read_answers_as_the_specifications_have_it(self) -> None:
-        self.assertEqual(agent_reply("ready up 40% maxconn:9\n"), CheckResult(True, 40, False, True))
-        self.assertEqual(agent_reply("drain\n").drain, True)
-        self.assertEqual(agent_reply("down#no 90% up\n"), CheckResult(False, None, None, True))
+        self.assertEqual(parse_agent_reply("ready up 40% maxconn:9\n"), CheckResult(True, 40, False, True))
+        self.assertEqual(parse_agent_reply("drain\n").drain, True)
+        self.assertEqual(parse_agent_reply("down#no 90% up\n"), CheckResult(False, None, None, True))
         with self.assertRaises(ValueError):
-            agent_reply("fine")
+            parse_agent_reply("fine")
         judge = HealthTracker(rise=2, fall=3)
         for up, told in (
             (False, True),
