--- a/measure/drains.py
+++ b/measure/drains.py
@@ -118,7 +118,7 @@
         self.result.requests = len(self.balancer.sent)
         self.result.unanswered = sum(len(each.answers) != 1 for each in self.balancer.sent)
         self.result.crossed = sum(each.crossed for each in self.balancer.sent)
-        self.result.twice = sum(count > 1 for count in self.workers.ran.values())
+        self.result.twice = sum(count > 1 for count in self.workers.run_counts.values())
         self.result.refused = self.balancer.retried
         return self.result
 
@@ -161,7 +161,7 @@
 
     def __init__(self, seed: int) -> None:
         self.seed, self.random = seed, random.Random(seed)
-        self.result, self.ran = Result(), Counter()
+        self.result, self.run_counts = Result(), Counter()
         self.tasks: set[asyncio.Task] = set()
 
     async def run(self, drains: int) -> Result:
@@ -169,7 +169,8 @@
         daemons = {name: await asyncio.to_thread(Daemon, name, [], ("faktory",)) for name in ("a", "b")}
         places = {name: each.addresses["faktory"] for name, each in daemons.items()}
         workers = [
-            FaktoryWorkers(place, 16, queues, (0.02, 0.4), self.seed, self.ran) for place in places.values()
+            FaktoryWorkers(place, 16, queues, (0.02, 0.4), self.seed, self.run_counts)
+            for place in places.values()
         ]
         self.producers = Producers(places, self.seed)
         load = asyncio.ensure_future(
@@ -194,7 +195,7 @@
         sent = self.producers.sent
         self.result.requests, self.result.refused = len(sent), self.producers.retried
         self.result.unanswered = sum(len(each.answers) != 1 for each in sent)
-        self.result.twice = sum(count > 1 for count in self.ran.values())
+        self.result.twice = sum(count > 1 for count in self.run_counts.values())
         return self.result
 
     async def drain(self, name: str, daemon: Daemon) -> None:
--- a/measure/faktory.py
+++ b/measure/faktory.py
@@ -53,7 +53,12 @@
         seed: int,
         ran: Counter[str],
     ) -> None:
-        self.random, self.running_s, self.ran, self.queues = random.Random(seed), running_s, ran, queues
+        self.random, self.running_s, self.run_counts, self.queues = (
+            random.Random(seed),
+            running_s,
+            ran,
+            queues,
+        )
         self.tasks = [asyncio.ensure_future(self._fetch(place, n)) for n in range(threads)]
         self.states: set[str] = set()  # that BEATs were answered with
 
@@ -69,7 +74,7 @@
                     job = await speaker.ask("FETCH", self.queues)
                     if job is not None:
                         jid = json.loads(job)["jid"]
-                        self.ran[jid] += 1
+                        self.run_counts[jid] += 1
                         await asyncio.sleep(self.random.uniform(*self.running_s))
                         await speaker.ask("ACK", {"jid": jid})
             finally:
--- a/measure/replacements.py
+++ b/measure/replacements.py
@@ -161,7 +161,9 @@
         result = self.result
         result.requests, result.most_out = self.count, self.workers.most_out
         result.met["call-backs"] = self.workers.broken
-        result.twice = sum(count > 1 for job, count in self.workers.ran.items() if "schedule-apply" in job)
+        result.twice = sum(
+            count > 1 for job, count in self.workers.run_counts.items() if "schedule-apply" in job
+        )
         return result
 
     async def _client(self, number: int) -> None:
--- a/measure/workers.py
+++ b/measure/workers.py
@@ -20,7 +20,7 @@
 
     def __init__(self, running_s: tuple[float, float], seed: int) -> None:
         self.running_s, self.random = running_s, random.Random(seed)
-        self.ran: Counter[str] = Counter()
+        self.run_counts: Counter[str] = Counter()
         self.servers: list[asyncio.Server] = []
 
     async def start(self, count: int) -> list[tuple[str, int]]:
@@ -36,7 +36,7 @@
                 fields = dict(line.lower().split(": ", 1) for line in head.split("\r\n")[1:] if ": " in line)
                 await reader.readexactly(int(fields.get("content-length", 0)))
                 if head.startswith("POST"):
-                    self.ran[fields["x-call-id"]] += 1
+                    self.run_counts[fields["x-call-id"]] += 1
                     if self.running_s[1] > 0:
                         await asyncio.sleep(self.random.uniform(*self.running_s))
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
@@ -91,7 +91,7 @@
                     return
                 if head.startswith("POST"):
                     status, job = 202, fields["x-call-id"]
-                    self.ran[job] += 1
+                    self.run_counts[job] += 1
                     self.out[job] += 1
                     self.most_out = max(self.most_out, self.out[job])
                     task = self.running[name, job] = asyncio.ensure_future(self._run(name, job))
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -73,7 +73,7 @@
             for number in range(4)
             for cls in ("status-read", "schedule-apply", "setpoint-push")
         ]
-        await self.until(lambda: len(lane.workers.ran) == 12, "all have been sent")
+        await self.until(lambda: len(lane.workers.run_counts) == 12, "all have been sent")
         new = await lane.replace(old)
         lane.workers.may_end.set()
         self.assertEqual([await each for each in answers], [b"200"] * 12)
@@ -100,7 +100,7 @@
         lane, old = await self.opened(clients=0, running_s=(0.0, 0.1))
         lane.workers.may_end.clear()
         first = asyncio.ensure_future(self.ask(lane, "schedule-apply", 1))
-        await self.until(lambda: len(lane.workers.ran) == 1, "it has been sent")
+        await self.until(lambda: len(lane.workers.run_counts) == 1, "it has been sent")
         new = await asyncio.to_thread(lane.start)
         await asyncio.to_thread(new.serving)
         await lane.until_yes(new, time.monotonic() + PATIENCE_S)
@@ -111,7 +111,7 @@
         lane.workers.may_end.set()
         self.assertEqual(await first, b"200")
         await lane.end(old)
-        self.assertEqual(lane.workers.ran["schedule-apply-x-1"], 1)
+        self.assertEqual(lane.workers.run_counts["schedule-apply-x-1"], 1)
         await self.closed(lane)
 
     async def test_a_half_read_request_goes_over(self) -> None:
@@ -191,7 +191,7 @@
         lane, old = await self.opened(clients=0, running_s=(0.0, 0.1))
         lane.workers.may_end.clear()
         asked = [asyncio.ensure_future(self.ask(lane, "status-read", number)) for number in range(8)]
-        await self.until(lambda: len(lane.workers.ran) == 8, "all have been sent")
+        await self.until(lambda: len(lane.workers.run_counts) == 8, "all have been sent")
         new = await asyncio.to_thread(lane.start)
         self.assertTrue(await asyncio.to_thread(new.serving), new.stderr_text())
         await lane.until_yes(new, time.monotonic() + PATIENCE_S)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -104,7 +104,7 @@
                 "--json",
             )
             workers.stop()
-            return json.loads(done.stdout), workers.ran
+            return json.loads(done.stdout), workers.run_counts
 
         report, ran = asyncio.run(run())
         self.assertGreater(report["asked"], 5)
