--- a/measure/workers.py
+++ b/measure/workers.py
@@ -75,8 +75,10 @@
         self.tasks: set[asyncio.Task] = set()
         self.broken = 0  # call-backs that met a refused, reset or unread connection
         self.running: dict[tuple[str, str], asyncio.Task] = {}
-        self.may_end = asyncio.Event()  # while it is clear, jobs whose time is over go on, and tell so
-        self.may_end.set()
+        self.completion_allowed = (
+            asyncio.Event()
+        )  # while it is clear, jobs whose time is over go on, and tell so
+        self.completion_allowed.set()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         ours = [each.sockets[0].getsockname() for each in self.servers]
@@ -118,10 +120,10 @@
         await asyncio.sleep(running / 2)
         await self._call({"id": job, "from": name, "state": "running", "share": 0.5})
         await asyncio.sleep(running / 2)
-        while not self.may_end.is_set():
+        while not self.completion_allowed.is_set():
             await self._call({"id": job, "from": name, "state": "running", "share": 0.9})
             with suppress(TimeoutError):
-                await asyncio.wait_for(self.may_end.wait(), TELLS_S)
+                await asyncio.wait_for(self.completion_allowed.wait(), TELLS_S)
         self.out[job] -= 1
         del self.running[name, job]
         for _ in range(1 + (self.random.random() < 0.2)):  # repeated, at times
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -67,7 +67,7 @@
     async def test_open_requests_of_each_class_end_at_the_successor(self) -> None:
         """Nothing new comes: what the successor answers was all taken by the one before it."""
         lane, old = await self.opened(clients=0, running_s=(0.0, 0.1))
-        lane.workers.may_end.clear()
+        lane.workers.completion_allowed.clear()
         answers = [
             asyncio.ensure_future(self.ask(lane, cls, number))
             for number in range(4)
@@ -75,7 +75,7 @@
         ]
         await self.until(lambda: len(lane.workers.run_counts) == 12, "all have been sent")
         new = await lane.replace(old)
-        lane.workers.may_end.set()
+        lane.workers.completion_allowed.set()
         self.assertEqual([await each for each in answers], [b"200"] * 12)
         told = await self.figures(lane, new)
         self.assertEqual(
@@ -98,7 +98,7 @@
 
     async def test_an_id_that_is_open_at_the_one_before_is_repeated_at_the_successor(self) -> None:
         lane, old = await self.opened(clients=0, running_s=(0.0, 0.1))
-        lane.workers.may_end.clear()
+        lane.workers.completion_allowed.clear()
         first = asyncio.ensure_future(self.ask(lane, "schedule-apply", 1))
         await self.until(lambda: len(lane.workers.run_counts) == 1, "it has been sent")
         new = await asyncio.to_thread(lane.start)
@@ -108,7 +108,7 @@
         self.assertEqual(await self.ask(lane, "schedule-apply", 1), b"409")
         self.assertEqual((await self.figures(lane, new))["errors.schedule-apply"], 1)
         self.assertFalse(first.done())
-        lane.workers.may_end.set()
+        lane.workers.completion_allowed.set()
         self.assertEqual(await first, b"200")
         await lane.end(old)
         self.assertEqual(lane.workers.run_counts["schedule-apply-x-1"], 1)
@@ -189,7 +189,7 @@
     async def test_the_successor_dies_while_everything_goes_over(self) -> None:
         """What it had is lost with it; the old one answers what it still has, and ends by itself."""
         lane, old = await self.opened(clients=0, running_s=(0.0, 0.1))
-        lane.workers.may_end.clear()
+        lane.workers.completion_allowed.clear()
         asked = [asyncio.ensure_future(self.ask(lane, "status-read", number)) for number in range(8)]
         await self.until(lambda: len(lane.workers.run_counts) == 8, "all have been sent")
         new = await asyncio.to_thread(lane.start)
@@ -197,7 +197,7 @@
         await lane.until_yes(new, time.monotonic() + PATIENCE_S)
         old.process.terminate()
         new.process.kill()
-        lane.workers.may_end.set()
+        lane.workers.completion_allowed.set()
         await asyncio.to_thread(old.process.wait, PATIENCE_S)
         self.assertEqual(old.process.returncode, 0)
         lane.drop(old)
