--- a/measure/drains.py
+++ b/measure/drains.py
@@ -75,7 +75,7 @@
         task.add_done_callback(tasks.discard)
 
 
-class Lane:
+class DrainRun:
     """One pair of schedulers and its balancer."""
 
     def __init__(self, protocol: str, seed: int, by_signal: bool) -> None:
@@ -156,7 +156,7 @@
             await asyncio.to_thread(daemon.command, do="undrain")
 
 
-class FaktoryLane:
+class FaktoryDrainRun:
     """A pair of schedulers that producers push to; a drain is told by the reply to their next PUSH."""
 
     def __init__(self, seed: int) -> None:
@@ -218,13 +218,13 @@
 
 
 def faktory_lane(drains: int, seed: int) -> tuple[str, Result]:
-    run = FaktoryLane(seed).run(drains)
+    run = FaktoryDrainRun(seed).run(drains)
     return "Faktory producers", asyncio.run(asyncio.wait_for(run, 30 + DRAIN_S * drains))
 
 
 def lane(protocol: str, drains: int, seed: int, by_signal: bool) -> tuple[str, Result]:
     name = f"{protocol}, SIGTERM" if by_signal else protocol
-    run = Lane(protocol, seed, by_signal).run(drains)
+    run = DrainRun(protocol, seed, by_signal).run(drains)
     return name, asyncio.run(asyncio.wait_for(run, 30 + DRAIN_S * drains))
 
 
--- a/measure/replacements.py
+++ b/measure/replacements.py
@@ -49,7 +49,7 @@
     stderr_text: str = ""
 
 
-class Lane:
+class ReplacementRun:
     """One scheduler, its clients and its job workers."""
 
     def __init__(self, seed: int, clients: int, running_s: tuple[float, float], **limits: float) -> None:
@@ -232,7 +232,7 @@
 
 async def lane(times: int, seed: int, clients: int, **limits: float) -> Result:
     """Some replacements, one after the other."""
-    running = Lane(seed, clients, (0.05, 1.5), **limits)
+    running = ReplacementRun(seed, clients, (0.05, 1.5), **limits)
     current = await running.open()
     for _ in range(times):
         await asyncio.sleep(running.random.uniform(0.2, 1.0))
--- a/tests/test_balancers.py
+++ b/tests/test_balancers.py
@@ -21,7 +21,7 @@
 from standins import FaktorySpeaker
 
 from measure.balancers import PROTOCOLS, Backend, CheckResult, HealthTracker, parse_agent_reply
-from measure.drains import Lane
+from measure.drains import DrainRun
 from spanwing.cli import client
 from spanwing.health.settings import HealthSettings
 from spanwing.health.signals import ClassLoad, CpuUsage, HealthSignals, WorkerCounts
@@ -87,7 +87,7 @@
         """Nothing taken after 2 s, and one final answer for all that was taken."""
 
         def run(name: str, by_signal: bool):
-            lane = Lane(name, 11, by_signal)
+            lane = DrainRun(name, 11, by_signal)
             return name, asyncio.run(asyncio.wait_for(lane.run(2), 90))
 
         with ThreadPoolExecutor(len(PROTOCOLS) + 1) as pool:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -16,7 +16,7 @@
 from player import config
 
 from measure.daemons import Program
-from measure.replacements import Lane
+from measure.replacements import ReplacementRun
 
 PATIENCE_S = 20.0
 BUDGET_MS = 20000  # nothing is measured against it
@@ -26,10 +26,10 @@
 
 class Replacement(unittest.IsolatedAsyncioTestCase):
     async def opened(self, clients: int = 24, running_s: tuple[float, float] = (0.05, 0.6), **limits: float):
-        lane = Lane(1, clients, running_s, **limits)
+        lane = ReplacementRun(1, clients, running_s, **limits)
         return lane, await lane.open()
 
-    async def closed(self, lane: Lane, broken: tuple[str, ...] = BROKEN) -> None:
+    async def closed(self, lane: ReplacementRun, broken: tuple[str, ...] = BROKEN) -> None:
         result = await lane.close()
         self.assertEqual({name: result.met[name] for name in broken if result.met[name]}, {})
         self.assertEqual(result.twice, 0)
@@ -43,12 +43,12 @@
             self.assertLess(time.monotonic(), end, what)
             await asyncio.sleep(0.01)
 
-    async def more_answers(self, lane: Lane) -> None:
+    async def more_answers(self, lane: ReplacementRun) -> None:
         """Until clients have had some more answers: the process at work serves under load."""
         so_far = lane.result.answers["200"]
         await self.until(lambda: lane.result.answers["200"] > so_far + ANSWERS, "clients have answers")
 
-    async def figures(self, lane: Lane, process) -> dict[str, int]:
+    async def figures(self, lane: ReplacementRun, process) -> dict[str, int]:
         body = (await lane.call(process, "stats")).partition(b"\r\n\r\n")[2].decode()
         return {
             name.removeprefix("app."): int(value)
@@ -84,7 +84,7 @@
         self.assertEqual((told["active"], told["pool_ejected"]), (0, 0))
         await self.closed(lane)
 
-    async def ask(self, lane: Lane, cls: str, number: int) -> bytes:
+    async def ask(self, lane: ReplacementRun, cls: str, number: int) -> bytes:
         reader, writer = await asyncio.open_connection(*lane.place)
         job = f"{cls}-x-{number}"
         writer.write(
