--- a/measure/drains.py
+++ b/measure/drains.py
@@ -40,9 +40,9 @@
     requests: int = 0
     last_s: float = 0.0  # the latest request that the balancer sent, after the announcement
     sent_late: int = 0
-    taken_late: int = 0
+    accepted_late: int = 0
     unanswered: int = 0
-    twice: int = 0
+    duplicate_runs: int = 0
     crossed: int = 0
     refused: int = 0  # during drains: sent on to the other scheduler
     longest_s: float = 0.0  # until all was answered
@@ -52,9 +52,9 @@
             "drains",
             "requests",
             "sent_late",
-            "taken_late",
+            "accepted_late",
             "unanswered",
-            "twice",
+            "duplicate_runs",
             "crossed",
             "refused",
         ):
@@ -118,7 +118,7 @@
         self.result.requests = len(self.balancer.sent)
         self.result.unanswered = sum(len(each.answers) != 1 for each in self.balancer.sent)
         self.result.crossed = sum(each.crossed for each in self.balancer.sent)
-        self.result.twice = sum(count > 1 for count in self.workers.run_counts.values())
+        self.result.duplicate_runs = sum(count > 1 for count in self.workers.run_counts.values())
         self.result.refused = self.balancer.retried
         return self.result
 
@@ -145,7 +145,7 @@
         self.result.drains += 1
         self.result.last_s = max([self.result.last_s, *(each.at - at for each in came)])
         self.result.sent_late += len(late)
-        self.result.taken_late += sum(each.answers != [503] for each in late)
+        self.result.accepted_late += sum(each.answers != [503] for each in late)
         if self.by_signal:
             fresh = await asyncio.to_thread(self.start, backend.name)
             daemon.close()
@@ -195,7 +195,7 @@
         sent = self.producers.sent
         self.result.requests, self.result.refused = len(sent), self.producers.retried
         self.result.unanswered = sum(len(each.answers) != 1 for each in sent)
-        self.result.twice = sum(count > 1 for count in self.run_counts.values())
+        self.result.duplicate_runs = sum(count > 1 for count in self.run_counts.values())
         return self.result
 
     async def drain(self, name: str, daemon: Daemon) -> None:
@@ -213,7 +213,7 @@
         self.result.drains += 1
         # Producers are not balancers: they go on asking, so what counts is what was taken.
         self.result.last_s = max([self.result.last_s, *(each.at - told for each in taken)])
-        self.result.taken_late += sum(each.at > at + LATE_S for each in taken)
+        self.result.accepted_late += sum(each.at > at + LATE_S for each in taken)
         await asyncio.to_thread(daemon.command, do="undrain")
 
 
@@ -237,7 +237,7 @@
     for name, each in results.items():
         lines.append(
             f"| {name} | {each.drains} | {each.requests} | {each.last_s:.2f} | {each.sent_late} "
-            f"| {each.taken_late} | {each.unanswered} | {each.twice} | {each.crossed} "
+            f"| {each.accepted_late} | {each.unanswered} | {each.duplicate_runs} | {each.crossed} "
             f"| {each.refused} | {each.longest_s:.2f} |"
         )
     return "\n".join(lines)
--- a/measure/replacements.py
+++ b/measure/replacements.py
@@ -41,7 +41,7 @@
     met: Counter = field(default_factory=Counter)  # refused, reset or unread connections
     unanswered: int = 0
     most_out: int = 0
-    twice: int = 0
+    duplicate_runs: int = 0
     yes_s: list[float] = field(default_factory=list)
     left_s: list[float] = field(default_factory=list)
     memory_mb: float = 0.0
@@ -161,7 +161,7 @@
         result = self.result
         result.requests, result.most_out = self.count, self.workers.most_out
         result.met["call-backs"] = self.workers.broken
-        result.twice = sum(
+        result.duplicate_runs = sum(
             count > 1 for job, count in self.workers.run_counts.items() if "schedule-apply" in job
         )
         return result
@@ -256,7 +256,7 @@
         met,
         result.unanswered,
         result.most_out,
-        result.twice,
+        result.duplicate_runs,
         f"{yes[len(yes) // 2]:.2f}, {yes[-1]:.2f}",
         f"{left[len(left) // 2]:.2f}, {left[-1]:.2f}",
         f"{result.memory_mb:.0f} of {limits['memory_mb']:g}",
--- a/tests/test_balancers.py
+++ b/tests/test_balancers.py
@@ -97,7 +97,8 @@
                 name, result = each.result()
                 with self.subTest(name):
                     self.assertEqual(
-                        (result.drains, result.taken_late, result.unanswered, result.twice), (2, 0, 0, 0)
+                        (result.drains, result.accepted_late, result.unanswered, result.duplicate_runs),
+                        (2, 0, 0, 0),
                     )
                     self.assertGreater(result.requests, 0)
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -32,7 +32,7 @@
     async def closed(self, lane: ReplacementRun, broken: tuple[str, ...] = BROKEN) -> None:
         result = await lane.close()
         self.assertEqual({name: result.met[name] for name in broken if result.met[name]}, {})
-        self.assertEqual(result.twice, 0)
+        self.assertEqual(result.duplicate_runs, 0)
         self.assertEqual(result.answers["another's"], 0)
         self.assertNotIn("Traceback", result.stderr_text)
         self.assertNotIn("fault", result.stderr_text)
