--- a/measure/replacements.py
+++ b/measure/replacements.py
@@ -114,22 +114,22 @@
         new = await asyncio.to_thread(self.start)
         if not await asyncio.to_thread(new.serving):
             raise RuntimeError(new.stderr_text())
-        await self.until_yes(new, at + YES_S)
+        await self.wait_until_healthy(new, at + YES_S)
         self.result.yes_s.append(time.monotonic() - at)
-        await self.end(old)
+        await self.stop_process(old)
         self.result.replaced += 1
         return new
 
-    async def until_yes(self, process: Program, end: float) -> None:
-        while not await self.yes(process):
+    async def wait_until_healthy(self, process: Program, end: float) -> None:
+        while not await self.is_healthy(process):
             if time.monotonic() > end:
                 raise RuntimeError(f"no yes: {process.stderr_text()}")
             await asyncio.sleep(0.01)
 
-    async def yes(self, process: Program) -> bool:
-        return b" 200 " in await self.call(process, "healthcheck")
+    async def is_healthy(self, process: Program) -> bool:
+        return b" 200 " in await self.get_management(process, "healthcheck")
 
-    async def call(self, process: Program, path: str) -> bytes:
+    async def get_management(self, process: Program, path: str) -> bytes:
         reader, writer = await asyncio.open_connection(*process.addresses["management"])
         writer.write(f"GET /{path} HTTP/1.1\r\n\r\n".encode())
         try:
@@ -137,14 +137,14 @@
         finally:
             writer.close()
 
-    async def end(self, old: Program) -> None:
+    async def stop_process(self, old: Program) -> None:
         at = time.monotonic()
         old.process.terminate()
         await asyncio.to_thread(old.process.wait, 30)
         self.result.left_s.append(time.monotonic() - at)
-        self.drop(old)
+        self.remove_process(old)
 
-    def drop(self, ended: Program) -> None:
+    def remove_process(self, ended: Program) -> None:
         self.running.remove(ended)
         self.result.stderr_text += ended.stderr_text()
         ended.close()
@@ -154,7 +154,7 @@
         await asyncio.gather(*self.tasks)
         self.looks.cancel()
         for each in list(self.running):
-            self.drop(each)
+            self.remove_process(each)
         self.workers.stop()
         self.listening.close()
         self.folder.cleanup()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -49,7 +49,7 @@
         await self.until(lambda: lane.result.answers["200"] > so_far + ANSWERS, "clients have answers")
 
     async def figures(self, lane: ReplacementRun, process) -> dict[str, int]:
-        body = (await lane.call(process, "stats")).partition(b"\r\n\r\n")[2].decode()
+        body = (await lane.get_management(process, "stats")).partition(b"\r\n\r\n")[2].decode()
         return {
             name.removeprefix("app."): int(value)
             for name, value in (line.split("=") for line in body.split())
@@ -103,14 +103,14 @@
         await self.until(lambda: len(lane.workers.run_counts) == 1, "it has been sent")
         new = await asyncio.to_thread(lane.start)
         await asyncio.to_thread(new.serving)
-        await lane.until_yes(new, time.monotonic() + PATIENCE_S)
+        await lane.wait_until_healthy(new, time.monotonic() + PATIENCE_S)
         # The old one has heard no SIGTERM, and still has the request; the new one alone accepts.
         self.assertEqual(await self.ask(lane, "schedule-apply", 1), b"409")
         self.assertEqual((await self.figures(lane, new))["errors.schedule-apply"], 1)
         self.assertFalse(first.done())
         lane.workers.completion_allowed.set()
         self.assertEqual(await first, b"200")
-        await lane.end(old)
+        await lane.stop_process(old)
         self.assertEqual(lane.workers.run_counts["schedule-apply-x-1"], 1)
         await self.closed(lane)
 
@@ -131,7 +131,7 @@
             new = await asyncio.to_thread(lane.start)
             new.process.kill()
             await asyncio.to_thread(new.process.wait)
-            lane.drop(new)
+            lane.remove_process(new)
         await asyncio.sleep(0.2)
         await lane.replace(old)
         await self.closed(lane)
@@ -140,10 +140,10 @@
         lane, old = await self.opened(clients=0)
         new = await asyncio.to_thread(lane.start)
         await asyncio.to_thread(new.serving)
-        await lane.until_yes(new, time.monotonic() + PATIENCE_S)
+        await lane.wait_until_healthy(new, time.monotonic() + PATIENCE_S)
         new.process.kill()
         new.process.wait()
-        lane.drop(new)
+        lane.remove_process(new)
         self.assertEqual(await self.ask(lane, "status-read", 1), b"200")
         await lane.replace(old)
         self.assertEqual(await self.ask(lane, "status-read", 2), b"200")
@@ -153,7 +153,7 @@
         lane, old = await self.opened(clients=0)
         old.process.kill()
         old.process.wait()
-        lane.drop(old)  # its socket's name is left in the folder
+        lane.remove_process(old)  # its socket's name is left in the folder
         new = await asyncio.to_thread(lane.start)
         self.assertTrue(await asyncio.to_thread(new.serving), new.stderr_text())
         self.assertEqual(await self.ask(lane, "status-read", 1), b"200")
@@ -165,11 +165,11 @@
         at = time.monotonic()
         new = await asyncio.to_thread(lane.start)
         self.assertTrue(await asyncio.to_thread(new.serving), new.stderr_text())
-        await lane.until_yes(new, at + 6.0)
+        await lane.wait_until_healthy(new, at + 6.0)
         self.assertEqual(await self.ask(lane, "status-read", 1), b"200")
         old.process.kill()
         old.process.wait()
-        lane.drop(old)
+        lane.remove_process(old)
         await self.closed(lane)
 
     async def test_sighup_and_another_discovery_in_the_middle(self) -> None:
@@ -181,8 +181,8 @@
             file = Path(each.folder.name) / "config.json"
             each.write({**json.loads(file.read_text()), "discovery": "127.0.0.1:10"})
             each.process.send_signal(signal.SIGHUP)
-        await lane.until_yes(new, time.monotonic() + PATIENCE_S)
-        await lane.end(old)
+        await lane.wait_until_healthy(new, time.monotonic() + PATIENCE_S)
+        await lane.stop_process(old)
         await lane.replace(new)
         await self.closed(lane)
 
@@ -194,14 +194,14 @@
         await self.until(lambda: len(lane.workers.run_counts) == 8, "all have been sent")
         new = await asyncio.to_thread(lane.start)
         self.assertTrue(await asyncio.to_thread(new.serving), new.stderr_text())
-        await lane.until_yes(new, time.monotonic() + PATIENCE_S)
+        await lane.wait_until_healthy(new, time.monotonic() + PATIENCE_S)
         old.process.terminate()
         new.process.kill()
         lane.workers.completion_allowed.set()
         await asyncio.to_thread(old.process.wait, PATIENCE_S)
         self.assertEqual(old.process.returncode, 0)
-        lane.drop(old)
-        lane.drop(new)
+        lane.remove_process(old)
+        lane.remove_process(new)
         await asyncio.gather(*asked, return_exceptions=True)
         await self.closed(lane, ())
 
@@ -223,8 +223,8 @@
         at = time.monotonic()
         new = await asyncio.to_thread(lane.start)
         self.assertTrue(await asyncio.to_thread(new.serving), new.stderr_text())
-        await lane.until_yes(new, at + 6.0)
-        await lane.end(current)
+        await lane.wait_until_healthy(new, at + 6.0)
+        await lane.stop_process(current)
         self.assertEqual(await self.ask(lane, "status-read", 2), b"200")
         await self.closed(lane, BROKEN[:-1])  # strangers' connections end with their process
 
@@ -237,7 +237,7 @@
                 self.assertRegex(
                     wrong.stderr_text(), rf"^spanwing: ROUTER_FD: cannot listen on {fd}: {why}\n$"
                 )
-                lane.drop(wrong)
+                lane.remove_process(wrong)
         lane.result.stderr_text = ""
         self.assertEqual(await self.ask(lane, "status-read", 1), b"200")
         await self.closed(lane)
