--- a/measure/replacements.py
+++ b/measure/replacements.py
@@ -38,7 +38,7 @@
     replaced: int = 0
     requests: int = 0
     answers: Counter = field(default_factory=Counter)
-    met: Counter = field(default_factory=Counter)  # refused, reset or unread connections
+    connection_errors: Counter = field(default_factory=Counter)  # refused, reset or unread connections
     unanswered: int = 0
     most_out: int = 0
     duplicate_runs: int = 0
@@ -56,8 +56,8 @@
         self.random = random.Random(seed)
         self.seed, self.clients, self.limits = seed, clients, {"sockets": 384, "memory_mb": 80, **limits}
         self.listening = socket.create_server(("127.0.0.1", 0), backlog=512)
-        self.place: Place = self.listening.getsockname()
-        self.workers = CallingWorkers(running_s, seed, self.place)
+        self.address: Place = self.listening.getsockname()
+        self.workers = CallingWorkers(running_s, seed, self.address)
         self.folder = tempfile.TemporaryDirectory()
         self.result, self.count, self.over = Result(), 0, False
         self.running: list[Program] = []
@@ -80,7 +80,7 @@
         known = {"revision": 1, "complete": True, "members": members}
         config = {
             "name": "n0",
-            "listen": f"127.0.0.1:{self.place[1]}",
+            "listen": f"127.0.0.1:{self.address[1]}",
             "discovery": self.discovery,
             "seed": "2a",
             "management": "127.0.0.1:0",
@@ -160,7 +160,7 @@
         self.folder.cleanup()
         result = self.result
         result.requests, result.most_out = self.count, self.workers.most_out
-        result.met["call-backs"] = self.workers.broken
+        result.connection_errors["call-backs"] = self.workers.broken
         result.duplicate_runs = sum(
             count > 1 for job, count in self.workers.run_counts.items() if "schedule-apply" in job
         )
@@ -175,9 +175,9 @@
             job = f"{cls}-{self.seed}-{self.count}"
             if writer is None:
                 try:
-                    reader, writer = await asyncio.open_connection(*self.place)
+                    reader, writer = await asyncio.open_connection(*self.address)
                 except OSError:
-                    self.result.met["refused"] += 1
+                    self.result.connection_errors["refused"] += 1
                     self.result.unanswered += 1
                     continue
             head = (
@@ -194,7 +194,7 @@
                 size = int(re.search(r"Content-Length: (\d+)", answer)[1])
                 body = (await reader.readexactly(size)).decode()
             except (OSError, asyncio.IncompleteReadError) as error:
-                self.result.met[type(error).__name__] += 1
+                self.result.connection_errors[type(error).__name__] += 1
                 self.result.unanswered += 1
                 writer.close()
                 writer = None
@@ -243,7 +243,7 @@
 
 def row(name: str, limits: dict[str, float], result: Result) -> str:
     yes, left = sorted(result.yes_s), sorted(result.left_s)
-    met = sum(result.met.values())
+    connection_errors = sum(result.connection_errors.values())
     failed = sum(count for status, count in result.answers.items() if status not in ("200", "503"))
     answers = result.answers
     cells = [
@@ -253,7 +253,7 @@
         answers["200"],
         answers["503"],
         failed,
-        met,
+        connection_errors,
         result.unanswered,
         result.most_out,
         result.duplicate_runs,
@@ -284,7 +284,8 @@
         result = asyncio.run(lane(times, 1, clients, **limits))
         lines.append(row(name, limits, result))
         click.echo(
-            f"{lines[-1]}\n{dict(result.met)} {dict(result.answers)}\n{result.stderr_text[-2000:]}", err=True
+            f"{lines[-1]}\n{dict(result.connection_errors)} {dict(result.answers)}\n{result.stderr_text[-2000:]}",
+            err=True,
         )
     table = "\n".join(lines) + "\n"
     if out is None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -31,7 +31,9 @@
 
     async def closed(self, lane: ReplacementRun, broken: tuple[str, ...] = BROKEN) -> None:
         result = await lane.close()
-        self.assertEqual({name: result.met[name] for name in broken if result.met[name]}, {})
+        self.assertEqual(
+            {name: result.connection_errors[name] for name in broken if result.connection_errors[name]}, {}
+        )
         self.assertEqual(result.duplicate_runs, 0)
         self.assertEqual(result.answers["another's"], 0)
         self.assertNotIn("Traceback", result.stderr_text)
@@ -85,7 +87,7 @@
         await self.closed(lane)
 
     async def ask(self, lane: ReplacementRun, cls: str, number: int) -> bytes:
-        reader, writer = await asyncio.open_connection(*lane.place)
+        reader, writer = await asyncio.open_connection(*lane.address)
         job = f"{cls}-x-{number}"
         writer.write(
             f"POST /{cls} HTTP/1.1\r\nX-Call-Id: {job}\r\nIdempotency-Key: {job}\r\n"
@@ -116,7 +118,7 @@
 
     async def test_a_half_read_request_goes_over(self) -> None:
         lane, old = await self.opened(clients=0)
-        reader, writer = await asyncio.open_connection(*lane.place)
+        reader, writer = await asyncio.open_connection(*lane.address)
         writer.write(b"POST /status-read HTTP/1.1\r\nX-Call-Id: half-1\r\nX-Bud")
         await asyncio.sleep(0.1)
         await lane.replace(old)
