--- a/measure/crashes.py
+++ b/measure/crashes.py
@@ -51,18 +51,18 @@
     kills: int = 0
     seen: int = 0  # by a job worker, whole
     findings: Counter[str] = field(default_factory=Counter)
-    wrong: list[str] = field(default_factory=list)  # shown unsent, though a worker had seen it
-    again: int = 0  # sends by a second life
-    untold: int = 0  # possibly sent, but not told of at the next start
+    wrongly_unsent: list[str] = field(default_factory=list)  # shown unsent, though a worker had seen it
+    resent: int = 0  # sends by a second life
+    unreported: int = 0  # possibly sent, but not told of at the next start
     accepted: int = 0  # repeats that were not answered as repeated
     unseen: Counter[str] = field(default_factory=Counter)  # possibly sent and not seen: the call it died at
 
     def add(self, other: Result) -> None:
-        for name in ("runs", "kills", "seen", "again", "untold", "accepted"):
+        for name in ("runs", "kills", "seen", "resent", "unreported", "accepted"):
             setattr(self, name, getattr(self, name) + getattr(other, name))
         self.findings += other.findings
         self.unseen += other.unseen
-        self.wrong += other.wrong
+        self.wrongly_unsent += other.wrongly_unsent
 
 
 class HttpWorkers:
@@ -206,7 +206,7 @@
         calls = life.calls()
         where = calls[-1] if calls else "nothing"
         if seen and finding in ("not sent", "not there"):
-            result.wrong.append(f"{self.front} {self.kind} at {len(calls)} {where}")
+            result.wrongly_unsent.append(f"{self.front} {self.kind} at {len(calls)} {where}")
         left = found is not None and not found.is_settled and finding != "not sent"
         if finding == "possibly sent" and not seen:
             result.unseen[where] += 1
@@ -216,12 +216,12 @@
         if place is None:
             raise RuntimeError(f"no second life: {second.out.read_text()}")
         said = second.out.read_text()
-        result.untold += left and f"request={self.id}" not in said
+        result.unreported += left and f"request={self.id}" not in said
         if left:
             result.accepted += not await self._repeated(place)
         await self._idle(place, 0.005)
         second.end()
-        result.again += sum(self.seen.values()) - before
+        result.resent += sum(self.seen.values()) - before
 
     async def _idle(self, place: tuple[str, int], wait_s: float) -> None:
         """Time for the second life to send something, to workers that would take it."""
@@ -370,7 +370,7 @@
                 for each in JournalReader(str(folder / "journal")).read_requests()
             }
             result.findings.update(found.values())
-            result.wrong += [each for each in self.seen if found.get(each, "not sent") == "not sent"]
+            result.wrongly_unsent += [each for each in self.seen if found.get(each, "not sent") == "not sent"]
             result.unseen["load"] += sum(
                 finding != "not sent" and name not in self.seen for name, finding in found.items()
             )
@@ -383,10 +383,10 @@
             second = Life(server, folder, "second", 0, False)
             place = await second.address("clients" if self.front == "platform" else "faktory")
             said = second.out.read_text()
-            result.untold += sum(f"request={each} " not in said for each in left)
+            result.unreported += sum(f"request={each} " not in said for each in left)
             await self._idle(place, 0.05)
             second.end()
-            result.again += sum((self.seen + workers.seen).values()) - before
+            result.resent += sum((self.seen + workers.seen).values()) - before
         workers.stop()
 
     async def _ask(self, place: tuple[str, int]) -> None:
@@ -446,7 +446,7 @@
         lines.append(
             f"| {name} | {each.runs} | {each.kills} | {each.seen} | {found['not there']} "
             f"| {found['not sent']} | {found['possibly sent']} | {found['sent']} "
-            f"| {len(each.wrong)} | {each.again} | {each.untold} | {each.accepted} "
+            f"| {len(each.wrongly_unsent)} | {each.resent} | {each.unreported} | {each.accepted} "
             f"| {sum(each.unseen.values())} |"
         )
     at = "; ".join(f"{where}: {count}" for where, count in total.unseen.most_common(12))
@@ -490,8 +490,8 @@
     text = table(results)
     click.echo(text)
     for each in results.values():
-        for wrong in each.wrong:
-            click.echo(f"WRONG: {wrong}", err=True)
+        for wrongly_unsent in each.wrongly_unsent:
+            click.echo(f"WRONG: {wrongly_unsent}", err=True)
     if out:
         out.write_text(
             "# A daemon killed at every call\n\n"
--- a/tests/test_journal_core.py
+++ b/tests/test_journal_core.py
@@ -402,7 +402,9 @@
         self.assertEqual(sum(each.kills > 3 for each in results.values()), 6)
         for name, each in results.items():
             with self.subTest(name):
-                self.assertEqual((each.wrong, each.again, each.untold, each.accepted), ([], 0, 0, 0))
+                self.assertEqual(
+                    (each.wrongly_unsent, each.resent, each.unreported, each.accepted), ([], 0, 0, 0)
+                )
 
     def test_a_folder_that_another_daemon_writes_is_refused_in_one_line(self) -> None:
         from measure.daemons import Daemon
