--- a/measure/cpu.py
+++ b/measure/cpu.py
@@ -29,7 +29,7 @@
 
 import click
 
-from measure.balancers import PROTOCOLS, Backend, Balancer, CheckResult, agent
+from measure.balancers import PROTOCOLS, Backend, Balancer, CheckResult, check_agent
 from measure.daemons import Daemon
 from measure.workers import Workers
 
@@ -129,7 +129,7 @@
             return
         sent = await self.balancer.request(f"l{id(self)}-{number}", "status-read", BUDGET_MS)
         # From the moment at which it was due: what the generator waits counts against the scheduler.
-        self.done.append((due, time.monotonic() - due, sent.answers if sent else []))
+        self.done.append((due, time.monotonic() - due, sent.statuses if sent else []))
 
 
 async def fixed(place) -> CheckResult:
@@ -161,7 +161,7 @@
         nonlocal count
         while not stop:
             sent = await balancer.request(f"c{number}-{count}", "status-read", BUDGET_MS)
-            count += sent is not None and sent.answers == [200]
+            count += sent is not None and sent.statuses == [200]
 
     clients = [asyncio.ensure_future(ask(number)) for number in range(CLIENTS)]
     try:
@@ -225,7 +225,7 @@
     async def poll() -> None:
         while True:
             begun = time.monotonic()
-            weight = (await agent(daemon.addresses["agent_check"])).weight
+            weight = (await check_agent(daemon.addresses["agent_check"])).weight
             heard.append((time.monotonic(), 0 if weight is None else weight))
             await asyncio.sleep(max(0.0, begun + POLL_S - time.monotonic()))
 
@@ -235,7 +235,7 @@
         early = len(load.done)
         await asyncio.sleep(random.Random(seed).uniform(0, 0.3))
         with suppress(RuntimeError):  # the machine's own noise may make it short of CPU before the cut
-            await asyncio.to_thread(daemon.until, "ready", "weighted", wait_s=4.0)
+            await asyncio.to_thread(daemon.wait_for_state, "ready", "weighted", wait_s=4.0)
         polling = asyncio.ensure_future(poll())
         await asyncio.sleep(3 * POLL_S)
         at = time.monotonic()
--- a/measure/crashes.py
+++ b/measure/crashes.py
@@ -31,7 +31,7 @@
 import msgspec
 
 from measure.daemons import ROOT, settings
-from measure.faktory import Speaker
+from measure.faktory import FaktoryConnection
 from measure.killed import HOP_HOST, Order
 from spanwing.journal.reader import JournalReader
 
@@ -288,9 +288,9 @@
         await self._push(place, self.budget_ms())
 
     async def _push(self, place: tuple[str, int], budget_ms: float) -> str:
-        speaker = await Speaker(place).open()
+        connection = await FaktoryConnection(place).open()
         try:
-            return await speaker.ask(
+            return await connection.command(
                 "PUSH",
                 {
                     "jid": self.id,
@@ -301,30 +301,30 @@
                 },
             )
         finally:
-            speaker.close()
+            connection.close()
 
-    def _worker(self, place: tuple[str, int], wid: str) -> Speaker:
-        return Speaker(place, local=(HOP_HOST, 0), wid=wid, labels=["zone:a", "kind:big"])
+    def _worker(self, place: tuple[str, int], wid: str) -> FaktoryConnection:
+        return FaktoryConnection(place, local_address=(HOP_HOST, 0), wid=wid, labels=["zone:a", "kind:big"])
 
-    async def _leave(self, place: tuple[str, int], gone: Speaker) -> None:
+    async def _leave(self, place: tuple[str, int], gone: FaktoryConnection) -> None:
         await asyncio.sleep(0.02)
         gone.close()
         await self._fetch(place, "stays", 0.0)
 
     async def _fetch(self, place: tuple[str, int], wid: str, delay: float, running_s: float = 0.003) -> None:
         with suppress(OSError, asyncio.IncompleteReadError):
-            speaker = await self._worker(place, wid).open()
+            connection = await self._worker(place, wid).open()
             try:
                 await asyncio.sleep(delay)
                 while True:
-                    job = await speaker.ask("FETCH", CLS)
+                    job = await connection.command("FETCH", CLS)
                     if job is not None:
                         jid = json.loads(job)["jid"]
                         self.seen[jid] += 1
                         await asyncio.sleep(running_s)
-                        await speaker.ask("ACK", {"jid": jid})
+                        await connection.command("ACK", {"jid": jid})
             finally:
-                speaker.close()
+                connection.close()
 
     async def _repeated(self, place: tuple[str, int]) -> bool:
         """Whether a repeat is answered as one, with what is known."""
--- a/measure/daemons.py
+++ b/measure/daemons.py
@@ -1,4 +1,4 @@
-"""Starts real daemons for measurements and tests, with their files in a folder of their own."""
+"""Starts real daemons for measurements and tests, each with its files in a temporary folder."""
 
 from __future__ import annotations
 
@@ -15,14 +15,17 @@
 from spanwing.cli import client
 
 ROOT = Path(__file__).parent.parent
-START_S = 20.0
+STATE_TIMEOUT_S = 20.0
 ALL_FRONTS = ("health", "agent_check", "feedback", "grpc", "faktory")
-Place = tuple[str, int]
+HostPort = tuple[str, int]
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 def settings(classes: list[dict[str, Any]] | None = None, **more: Any) -> dict[str, Any]:
-    """Settings of one scheduler, by default with the three classes of the trade."""
+    """Returns the settings of one scheduler, by default with three service classes: safe, unsafe and keyed.
+
+    Further keyword arguments add settings or replace them.
+    """
     return {
         "areas": ["a"],
         "balancers": 1,
@@ -64,7 +67,11 @@
 
 
 class Program:
-    """One started program, with its files, and the addresses that it printed."""
+    """A started process, its files, and the addresses that it has printed.
+
+    By default it runs the daemon, on `cpus` if these are given. `environment` adds variables, and the
+    process inherits the descriptors in `inherited_fds`.
+    """
 
     def __init__(
         self,
@@ -73,7 +80,7 @@
         cpus: set[int] | None = None,
         command: tuple[str, ...] = ("-m", "spanwing"),
         environment: dict[str, str] | None = None,
-        inherits: tuple[int, ...] = (),
+        inherited_fds: tuple[int, ...] = (),
     ) -> None:
         self.folder = tempfile.TemporaryDirectory()
         folder = Path(self.folder.name)
@@ -93,19 +100,19 @@
             stdout=subprocess.PIPE,
             stderr=self.errors,
             text=True,
-            pass_fds=inherits,
+            pass_fds=inherited_fds,
             preexec_fn=None if cpus is None else lambda: os.sched_setaffinity(0, cpus),
         )
-        self.addresses: dict[str, Place] = {}
+        self.addresses: dict[str, HostPort] = {}
 
     def write(self, config: dict[str, Any]) -> None:
-        """Put the configuration file there, whole at once."""
-        fresh = Path(self.folder.name) / "config.new"
-        fresh.write_text(json.dumps(config))
-        fresh.replace(fresh.with_suffix(".json"))
+        """Replaces the configuration file atomically."""
+        new_file = Path(self.folder.name) / "config.new"
+        new_file.write_text(json.dumps(config))
+        new_file.replace(new_file.with_suffix(".json"))
 
     def serving(self) -> bool:
-        """Read what it prints until it takes clients; False where it ends before."""
+        """Reads the printed addresses until that of clients; returns False if the process ends first."""
         for line in self.process.stdout:
             if match := re.match(r"spanwing: (\w+) on (.*):(\d+)$", line):
                 self.addresses[match[1]] = (match[2], int(match[3]))
@@ -114,15 +121,17 @@
         return False
 
     def stderr_text(self) -> str:
+        """Returns what the process has written to standard error so far."""
         self.errors.seek(0)
         return self.errors.read()
 
     def peak_memory_mb(self) -> float:
-        """The most memory that it has held, in MB."""
+        """Returns the peak resident memory of the process, in MB."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         return int(re.search(r"VmHWM:\s+(\d+) kB", status)[1]) / 1024
 
     def close(self) -> None:
+        """Kills the process if it runs, and removes its files."""
         if self.process.poll() is None:
             self.process.kill()
             self.process.wait()
@@ -132,7 +141,12 @@
 
 
 class Daemon(Program):
-    """One that serves, with job workers and an admin socket."""
+    """A daemon that serves requests, with a known list of job workers and, by default, an admin socket.
+
+    `workers` holds names and ports on loopback. `fronts` lists the listeners to open, `balancers` is further
+    text of the fronts file, and other keyword arguments are limits. Raises RuntimeError if the daemon ends
+    before it serves.
+    """
 
     def __init__(
         self,
@@ -176,22 +190,28 @@
         if not self.serving():
             raise RuntimeError(f"{name} did not start: {self.stderr_text()}")
 
-    def command(self, **ask: Any) -> dict[str, Any]:
-        return client.send_command(self.admin, **ask)
+    def send_command(self, **command: Any) -> dict[str, Any]:
+        """Sends a command to the admin socket and returns the reply."""
+        return client.send_command(self.admin, **command)
+
+    def wait_for_state(self, *states: str, wait_s: float = STATE_TIMEOUT_S) -> dict[str, Any]:
+        """Polls the status until the state is one of `states`, and returns it.
 
-    def until(self, *states: str, wait_s: float = START_S) -> dict[str, Any]:
-        """Ask for the status until the state is one of these."""
+        Raises RuntimeError after `wait_s` seconds.
+        """
         end = time.monotonic() + wait_s
-        while (status := self.command(do="status"))["state"] not in states:
+        while (status := self.send_command(do="status"))["state"] not in states:
             if time.monotonic() > end:
-                raise RuntimeError(f"still {status['state']}: {status['notes']}")
+                raise RuntimeError(f"daemon is still in state {status['state']}: {status['notes']}")
             time.sleep(0.02)
         return status
 
     def cpu_s(self) -> float:
+        """Returns the CPU time that the process has used so far, in seconds."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
     def close(self) -> None:
+        """Kills the process if it runs, and removes its files and its admin socket."""
         super().close()
         self.sockets.cleanup()
--- a/measure/management.py
+++ b/measure/management.py
@@ -14,13 +14,13 @@
 
 import click
 
-from measure.daemons import Place, Program, settings
+from measure.daemons import HostPort, Program, settings
 from measure.workers import Workers
 
 EVERY_S = 0.05
 
 
-async def call(place: Place, path: str) -> float:
+async def call(place: HostPort, path: str) -> float:
     """ms until the whole answer was there."""
     at = time.monotonic()
     reader, writer = await asyncio.open_connection(*place)
@@ -32,7 +32,7 @@
     return (time.monotonic() - at) * 1000.0
 
 
-async def job(place: Place, number: int) -> None:
+async def job(place: HostPort, number: int) -> None:
     reader, writer = await asyncio.open_connection(*place)
     writer.write(
         b"POST /status-read HTTP/1.1\r\nX-Call-Id: j%d\r\nX-Budget-Ms: 5000\r\n"
@@ -42,7 +42,7 @@
     writer.close()
 
 
-async def crowd(place: Place, lane: int) -> None:
+async def crowd(place: HostPort, lane: int) -> None:
     number = lane
     while True:
         await job(place, number)
--- a/measure/polled.py
+++ b/measure/polled.py
@@ -74,8 +74,8 @@
                         asked[front, port] = [
                             asyncio.ensure_future(
                                 Backend(
-                                    name, ("", 0), (host, int(port)), each._replace(inter_s=EVERY_S)
-                                ).follow()
+                                    name, ("", 0), (host, int(port)), each._replace(interval_s=EVERY_S)
+                                ).run_checks()
                             )
                             for name, each in PROTOCOLS.items()
                             if each.front == front
--- a/measure/replacements.py
+++ b/measure/replacements.py
@@ -23,7 +23,7 @@
 
 import click
 
-from measure.daemons import Place, Program, settings
+from measure.daemons import HostPort, Program, settings
 from measure.workers import CallingWorkers
 
 CLASSES = (("status-read", 5000), ("schedule-apply", 25000), ("setpoint-push", 8000))
@@ -40,7 +40,7 @@
     answers: Counter = field(default_factory=Counter)
     connection_errors: Counter = field(default_factory=Counter)  # refused, reset or unread connections
     unanswered: int = 0
-    most_out: int = 0
+    most_attempts: int = 0
     duplicate_runs: int = 0
     yes_s: list[float] = field(default_factory=list)
     left_s: list[float] = field(default_factory=list)
@@ -56,7 +56,7 @@
         self.random = random.Random(seed)
         self.seed, self.clients, self.limits = seed, clients, {"sockets": 384, "memory_mb": 80, **limits}
         self.listening = socket.create_server(("127.0.0.1", 0), backlog=512)
-        self.address: Place = self.listening.getsockname()
+        self.address: HostPort = self.listening.getsockname()
         self.workers = CallingWorkers(running_s, seed, self.address)
         self.folder = tempfile.TemporaryDirectory()
         self.result, self.count, self.over = Result(), 0, False
@@ -93,7 +93,7 @@
             config,
             "",
             command=command,
-            inherits=(self.listening.fileno(),),
+            inherited_fds=(self.listening.fileno(),),
             environment={"ROUTER_FD": str(fd), "TMPDIR": self.folder.name},
         )
         self.running.append(started)
@@ -159,8 +159,8 @@
         self.listening.close()
         self.folder.cleanup()
         result = self.result
-        result.requests, result.most_out = self.count, self.workers.most_out
-        result.connection_errors["call-backs"] = self.workers.broken
+        result.requests, result.most_attempts = self.count, self.workers.most_attempts
+        result.connection_errors["call-backs"] = self.workers.failed_callbacks
         result.duplicate_runs = sum(
             count > 1 for job, count in self.workers.run_counts.items() if "schedule-apply" in job
         )
@@ -255,7 +255,7 @@
         failed,
         connection_errors,
         result.unanswered,
-        result.most_out,
+        result.most_attempts,
         result.duplicate_runs,
         f"{yes[len(yes) // 2]:.2f}, {yes[-1]:.2f}",
         f"{left[len(left) // 2]:.2f}, {left[-1]:.2f}",
@@ -284,7 +284,8 @@
         result = asyncio.run(lane(times, 1, clients, **limits))
         lines.append(row(name, limits, result))
         click.echo(
-            f"{lines[-1]}\n{dict(result.connection_errors)} {dict(result.answers)}\n{result.stderr_text[-2000:]}",
+            f"{lines[-1]}\n{dict(result.connection_errors)} {dict(result.answers)}\n"
+            f"{result.stderr_text[-2000:]}",
             err=True,
         )
     table = "\n".join(lines) + "\n"
