--- a/measure/cpu.py
+++ b/measure/cpu.py
@@ -1,12 +1,13 @@
-"""What a scheduler that runs short of CPU says, and when: before its first late request, or after.
+"""Measures whether a scheduler that runs short of CPU reports so before its first late request.
 
-`cuts`: one scheduler, pinned to one core, under a constant load that needs a part of it; other programs on
-that core then leave it a half or a quarter. Measured: the time from the first answer to an agent-check that
-tells a lower weight because it is short of CPU (the log gives the reason) to the first request that is
-answered later than wanted; negative if the request came first.
+`cuts` runs one scheduler, pinned to one core, under a constant load that needs part of that core. Busy loops
+on the core then leave the scheduler a half or a quarter of it. The result is the time from the first reply to
+an agent-check with a lower weight because of the shortage (the log gives the reason) to the first request
+answered later than its latency objective. It is negative if the request came first.
 
-`starved`: four schedulers, one of them cut to a quarter, behind balancers that follow the weight that
-agent-check tells, or that keep a fixed one. Measured: the share of requests answered late or not served.
+`starved` runs four schedulers, one of them cut to a quarter of its core, behind balancers that follow the
+weight in agent-check replies or keep a fixed one. The result is the share of requests answered late or not
+served.
 
     .venv/bin/python -m measure.cpu cuts --runs 20 --out docs/results/balancers-cpu-cuts.md
     .venv/bin/python -m measure.cpu starved --runs 5 --out docs/results/balancers-starved.md
@@ -33,20 +34,26 @@
 from measure.daemons import Daemon
 from measure.workers import Workers
 
-RUNNING_S = 0.23  # the least mean of a status-read, so the least slack
-WANTED_S = 0.15 + 2 * RUNNING_S  # as for status-read: 150 ms plus twice its running time
+RUNNING_TIME_S = 0.23  # the shortest mean running time of a status-read, which leaves the least slack
+LATENCY_OBJECTIVE_S = 0.15 + 2 * RUNNING_TIME_S  # of status-read: 150 ms plus twice its running time
 BUDGET_MS = 5000
 CLASSES = [
-    {"name": "status-read", "aim_ms": 1000 * WANTED_S, "deadline_ms": BUDGET_MS, "idempotency": "safe"}
+    {
+        "name": "status-read",
+        "aim_ms": 1000 * LATENCY_OBJECTIVE_S,
+        "deadline_ms": BUDGET_MS,
+        "idempotency": "safe",
+    }
 ]
-WORKERS, SLOTS_WARM_S = 40, 3.0
-CLIENTS, CALIBRATE_S = 150, 3.0
+WORKER_COUNT, WARM_UP_S = 40, 3.0
+CLIENT_COUNT, CALIBRATION_S = 150, 3.0
 POLL_S = 0.05
-AFTER_S = 8.0  # a run ends so long after the cut, if nothing is late until then
-GENERATOR_LATE_S = 0.05  # a request that the generator itself sent later than this is left out, and counted
+OBSERVED_S = 8.0  # from the cut to the end of a run
+MAX_SEND_DELAY_S = 0.05  # a request that the generator would send later than this is left out and counted
 
 
-def hog(cpu: int, stop: multiprocessing.Event) -> None:
+def busy_loop(cpu: int, stop: multiprocessing.Event) -> None:
+    """Keeps a core busy until `stop` is set."""
     os.sched_setaffinity(0, {cpu})
     while not stop.is_set():
         for _ in range(10000):
@@ -54,25 +61,25 @@
 
 
 def serve_workers(cpus: set[int], pipe) -> None:
-    """Stand-in job workers in a process of their own."""
+    """Runs stand-in job workers; sends their names and ports to `pipe`, and ends at the next message."""
     os.sched_setaffinity(0, cpus)
 
     async def main() -> None:
-        workers = Workers((RUNNING_S, RUNNING_S), 1)
-        pipe.send(await workers.start(WORKERS))
+        workers = Workers((RUNNING_TIME_S, RUNNING_TIME_S), 1)
+        pipe.send(await workers.start(WORKER_COUNT))
         await asyncio.to_thread(pipe.recv)
 
     asyncio.run(main())
 
 
-class WorkerProcess:
-    """Started on its own cores; places are names and ports."""
+class WorkersProcess:
+    """Stand-in job workers in a process of their own, on cores of their own; `ports` has names and ports."""
 
     def __init__(self, cpus: set[int]) -> None:
-        self.pipe, other = multiprocessing.Pipe()
-        self.process = multiprocessing.Process(target=serve_workers, args=(cpus, other), daemon=True)
+        self.pipe, child_pipe = multiprocessing.Pipe()
+        self.process = multiprocessing.Process(target=serve_workers, args=(cpus, child_pipe), daemon=True)
         self.process.start()
-        self.places = self.pipe.recv()
+        self.ports = self.pipe.recv()
 
     def stop(self) -> None:
         self.pipe.send(None)
@@ -80,13 +87,13 @@
         self.process.kill()
 
 
-class Hogs:
-    """Programs that take the rest of a core."""
+class CpuHogs:
+    """Busy loops that share a core with a scheduler."""
 
     def __init__(self, cpu: int, count: int) -> None:
         self.stop_event = multiprocessing.Event()
         self.processes = [
-            multiprocessing.Process(target=hog, args=(cpu, self.stop_event), daemon=True)
+            multiprocessing.Process(target=busy_loop, args=(cpu, self.stop_event), daemon=True)
             for _ in range(count)
         ]
 
@@ -103,102 +110,107 @@
 
 
 class Load:
-    """An open loop of requests at a constant rate."""
+    """Sends requests as a Poisson process, without waiting for answers."""
 
-    def __init__(self, balancer: Balancer, rate: float, seed: int) -> None:
-        self.balancer, self.rate, self.random = balancer, rate, random.Random(seed)
+    def __init__(self, balancer: Balancer, rate_per_s: float, seed: int) -> None:
+        self.balancer, self.rate_per_s, self.random = balancer, rate_per_s, random.Random(seed)
         self.tasks: set[asyncio.Task] = set()
-        self.done: list[tuple[float, float, list[int]]] = []  # when due, how long, answers
-        self.left_out = 0
+        self.completed: list[tuple[float, float, list[int]]] = []  # due time, latency in s, statuses
+        self.unsent_count = 0
 
     async def run(self, seconds: float) -> None:
         due = time.monotonic()
         end, number = due + seconds, 0
         while due < end:
-            number, due = number + 1, due + self.random.expovariate(self.rate)
+            number, due = number + 1, due + self.random.expovariate(self.rate_per_s)
             wait = due - time.monotonic()
             if wait > 0.001:
                 await asyncio.sleep(wait)
-            task = asyncio.ensure_future(self._one(due, number))
+            task = asyncio.ensure_future(self._send_one(due, number))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def _one(self, due: float, number: int) -> None:
-        if time.monotonic() - due > GENERATOR_LATE_S:
-            self.left_out += 1
+    async def _send_one(self, due: float, number: int) -> None:
+        if time.monotonic() - due > MAX_SEND_DELAY_S:
+            self.unsent_count += 1
             return
         sent = await self.balancer.request(f"l{id(self)}-{number}", "status-read", BUDGET_MS)
-        # From the moment at which it was due: what the generator waits counts against the scheduler.
-        self.done.append((due, time.monotonic() - due, sent.statuses if sent else []))
+        # Latency counts from the due time, so a delay of the generator counts against the scheduler.
+        self.completed.append((due, time.monotonic() - due, sent.statuses if sent else []))
 
 
-async def fixed(place) -> CheckResult:
-    """A balancer that looks at nothing."""
+async def skip_check(address) -> CheckResult:
+    """A check that contacts no backend and leaves its state and weight unchanged."""
     return CheckResult()
 
 
-def backend(daemon: Daemon, weighted: bool) -> Backend:
+def make_backend(daemon: Daemon, weighted: bool) -> Backend:
+    """Returns a backend that follows agent-check if `weighted`, or else keeps its weight."""
     protocol = PROTOCOLS["agent-check"]
     return Backend(
         daemon.process.pid,
         daemon.addresses["clients"],
         daemon.addresses["agent_check"],
-        protocol if weighted else protocol._replace(check=fixed),
+        protocol if weighted else protocol._replace(check=skip_check),
     )
 
 
-async def served_rate(cpu: int, workers: WorkerProcess, hogs: int) -> float:
-    """Requests a second that a scheduler serves at most with these others on its core: so many clients that
-    each ask again at once. It grows with the load, as a turn of the loop then serves several; a rate reckoned
-    from the cost of single requests would be too low to be an overload."""
+async def measure_capacity(cpu: int, workers: WorkersProcess, hog_count: int) -> float:
+    """Returns the most requests a second that a scheduler serves with `hog_count` busy loops on its core.
+
+    CLIENT_COUNT clients each send the next request as soon as the last is answered. The capacity grows with
+    the load, because one iteration of the event loop then serves several requests; a rate computed from the
+    cost of single requests would be too low to cause an overload.
+    """
     daemon = await asyncio.to_thread(
-        Daemon, "c", workers.places, ("agent_check",), cpus={cpu}, classes=CLASSES
+        Daemon, "c", workers.ports, ("agent_check",), cpus={cpu}, classes=CLASSES
     )
-    balancer, others = Balancer([backend(daemon, False)], 1), Hogs(cpu, hogs)
+    balancer, cpu_hogs = Balancer([make_backend(daemon, False)], 1), CpuHogs(cpu, hog_count)
     count, stop = 0, False
 
-    async def ask(number: int) -> None:
+    async def send_requests(number: int) -> None:
         nonlocal count
         while not stop:
             sent = await balancer.request(f"c{number}-{count}", "status-read", BUDGET_MS)
             count += sent is not None and sent.statuses == [200]
 
-    clients = [asyncio.ensure_future(ask(number)) for number in range(CLIENTS)]
+    clients = [asyncio.ensure_future(send_requests(number)) for number in range(CLIENT_COUNT)]
     try:
-        await asyncio.sleep(CALIBRATE_S)
-        await asyncio.to_thread(others.start)
+        await asyncio.sleep(CALIBRATION_S)
+        await asyncio.to_thread(cpu_hogs.start)
         await asyncio.sleep(1.0)
         begun, before = time.monotonic(), count
-        await asyncio.sleep(CALIBRATE_S)
+        await asyncio.sleep(CALIBRATION_S)
         return (count - before) / (time.monotonic() - begun)
     finally:
         stop = True
-        others.stop()
+        cpu_hogs.stop()
         await asyncio.gather(*clients)
         await balancer.stop()
         daemon.close()
 
 
 @dataclass
-class Cut:
-    """One run."""
+class CutRun:
+    """The result of one run of `cuts`; times are in seconds from the cut."""
 
-    share: float
-    rate: float  # requests a second
-    short_s: float | None  # after the cut
-    late_s: float | None
-    left_out: int
+    cpu_share: float
+    rate_per_s: float  # offered load
+    reported_s: float | None  # the shortage in an agent-check reply; -1.0 if reported before the cut
+    first_late_s: float | None
+    unsent_count: int  # requests left out because the generator was late
 
     @property
     def lead_s(self) -> float | None:
-        if self.late_s is None:
+        """The time from the report of the shortage to the first late request; None if none was late."""
+        if self.first_late_s is None:
             return None
-        # Never said: as bad as said at the very end.
-        return self.late_s - (AFTER_S if self.short_s is None else max(0.0, self.short_s))
+        # A shortage that is never reported counts as reported at the end of the run.
+        return self.first_late_s - (OBSERVED_S if self.reported_s is None else max(0.0, self.reported_s))
 
 
-def states(log: str) -> list[tuple[float, str]]:
-    """Changes of state, of the monotonic clock, from the daemon's log."""
+def parse_state_changes(log: str) -> list[tuple[float, str]]:
+    """Returns the state changes in the daemon's JSON log, with their times on the monotonic clock."""
     offset = time.time() - time.monotonic()
     lines = [json.loads(line) for line in log.splitlines() if line.startswith("{")]
     return [
@@ -208,48 +220,62 @@
     ]
 
 
-async def cut(cpu: int, workers: WorkerProcess, rate: float, hogs: int, seed: int) -> Cut:
+async def run_cut(cpu: int, workers: WorkersProcess, rate_per_s: float, hog_count: int, seed: int) -> CutRun:
+    """Runs one scheduler under load and cuts its CPU with `hog_count` busy loops."""
     daemon = await asyncio.to_thread(
         Daemon,
         "d",
-        workers.places,
+        workers.ports,
         ("agent_check",),
         cpus={cpu},
         classes=CLASSES,
         balancers='[balancers]\nslow_start_ms = 500\n[log]\nform = "json"',
     )
-    balancer = Balancer([backend(daemon, False)], seed)
-    load, others = Load(balancer, rate, seed), Hogs(cpu, hogs)
-    heard: list[tuple[float, int]] = []  # when an agent-check was answered, and the weight
+    balancer = Balancer([make_backend(daemon, False)], seed)
+    load, cpu_hogs = Load(balancer, rate_per_s, seed), CpuHogs(cpu, hog_count)
+    weights: list[tuple[float, int]] = []  # time of each agent-check reply, and its weight
 
     async def poll() -> None:
         while True:
             begun = time.monotonic()
             weight = (await check_agent(daemon.addresses["agent_check"])).weight
-            heard.append((time.monotonic(), 0 if weight is None else weight))
+            weights.append((time.monotonic(), 0 if weight is None else weight))
             await asyncio.sleep(max(0.0, begun + POLL_S - time.monotonic()))
 
-    running = asyncio.ensure_future(load.run(SLOTS_WARM_S + 1.0 + AFTER_S))
+    running = asyncio.ensure_future(load.run(WARM_UP_S + 1.0 + OBSERVED_S))
     try:
-        await asyncio.sleep(SLOTS_WARM_S)
-        early = len(load.done)
+        await asyncio.sleep(WARM_UP_S)
+        first_index = len(load.completed)
         await asyncio.sleep(random.Random(seed).uniform(0, 0.3))
-        with suppress(RuntimeError):  # the machine's own noise may make it short of CPU before the cut
+        with suppress(RuntimeError):  # other load on the machine may make it short of CPU before the cut
             await asyncio.to_thread(daemon.wait_for_state, "ready", "weighted", wait_s=4.0)
         polling = asyncio.ensure_future(poll())
         await asyncio.sleep(3 * POLL_S)
-        at = time.monotonic()
-        await asyncio.to_thread(others.start)
+        cut_at = time.monotonic()
+        await asyncio.to_thread(cpu_hogs.start)
         await running
         polling.cancel()
-        # What a balancer has heard of it: the first lower weight after the log says why it is lower.
-        shorts = [when for when, state in states(daemon.stderr_text()) if state == "short"]
-        said = next((when for when, weight in heard if weight < 100 and shorts and when >= shorts[0]), None)
-        late = [due + took for due, took, _ in load.done[early:] if took > WANTED_S and due + took > at]
-        short = None if said is None else -1.0 if said < at else said - at
-        return Cut(1 / (hogs + 1), rate, short, min(late) - at if late else None, load.left_out)
+        # The report reaches a balancer with the first lower weight after the log has given the reason.
+        short_times = [when for when, state in parse_state_changes(daemon.stderr_text()) if state == "short"]
+        reported_at = next(
+            (when for when, weight in weights if weight < 100 and short_times and when >= short_times[0]),
+            None,
+        )
+        late = [
+            due + elapsed_s
+            for due, elapsed_s, _ in load.completed[first_index:]
+            if elapsed_s > LATENCY_OBJECTIVE_S and due + elapsed_s > cut_at
+        ]
+        reported_s = None if reported_at is None else -1.0 if reported_at < cut_at else reported_at - cut_at
+        return CutRun(
+            1 / (hog_count + 1),
+            rate_per_s,
+            reported_s,
+            min(late) - cut_at if late else None,
+            load.unsent_count,
+        )
     finally:
-        others.stop()
+        cpu_hogs.stop()
         await asyncio.gather(*load.tasks)
         await balancer.stop()
         daemon.close()
@@ -257,24 +283,26 @@
 
 @click.group()
 def main() -> None:
-    """Measure what is told when CPU is short."""
+    """Measure what the daemon reports when CPU is short."""
 
 
-def cuts_on(lane: int, lanes: int, runs: int, overs: tuple[float, ...], seed: int) -> list[Cut]:
-    """Runs of one lane, on three cores of its own."""
+def run_cut_lane(
+    lane: int, lanes: int, runs: int, load_factors: tuple[float, ...], seed: int
+) -> list[CutRun]:
+    """Does every `lanes`-th run of `cuts`, on three cores of its own: scheduler, balancer, job workers."""
     core = 3 * lane
     os.sched_setaffinity(0, {core + 1})
-    workers = WorkerProcess({core + 2})
+    workers = WorkersProcess({core + 2})
 
-    async def all_runs() -> list[Cut]:
+    async def all_runs() -> list[CutRun]:
         rates = {
-            hogs: over * await served_rate(core, workers, hogs)
-            for hogs, over in zip((1, 3), overs, strict=True)
+            hog_count: load_factor * await measure_capacity(core, workers, hog_count)
+            for hog_count, load_factor in zip((1, 3), load_factors, strict=True)
         }
         found = []
         for number in range(lane, 2 * runs, lanes):
-            hogs = 1 if number % 2 == 0 else 3
-            found.append(await cut(core, workers, rates[hogs], hogs, seed * 1000 + number))
+            hog_count = 1 if number % 2 == 0 else 3
+            found.append(await run_cut(core, workers, rates[hog_count], hog_count, seed * 1000 + number))
         return found
 
     try:
@@ -283,35 +311,46 @@
         workers.stop()
 
 
-def in_process(target, arguments, pipe) -> None:
+def send_result(target, arguments, pipe) -> None:
+    """Calls `target` and sends what it returns to `pipe`."""
     pipe.send(target(*arguments))
 
 
-def spread(target, arguments: list[tuple]) -> list:
-    """Run in processes of their own, which may have children."""
+def run_in_processes(target, arguments: list[tuple]) -> list:
+    """Calls `target` with each tuple of arguments in a process of its own, and returns the results in order.
+
+    Unlike the workers of a pool, these processes are not daemonic, so they may have children.
+    """
     pipes = []
     for each in arguments:
-        ours, theirs = multiprocessing.Pipe()
-        multiprocessing.Process(target=in_process, args=(target, each, theirs)).start()
-        pipes.append(ours)
+        receiver, sender = multiprocessing.Pipe()
+        multiprocessing.Process(target=send_result, args=(target, each, sender)).start()
+        pipes.append(receiver)
     with ThreadPoolExecutor(len(pipes)) as pool:
         return list(pool.map(lambda pipe: pipe.recv(), pipes))
 
 
 @main.command()
-@click.option("--runs", default=20, show_default=True, help="For each cut.")
+@click.option("--runs", default=20, show_default=True, help="Number of runs for each cut.")
 @click.option("--seed", default=1, show_default=True)
 @click.option(
-    "--half", default=1.4, show_default=True, help="Load, of what is served at most with half of the core."
+    "--half",
+    default=1.4,
+    show_default=True,
+    help="Load, as a multiple of the capacity with half of the core.",
+)
+@click.option(
+    "--quarter", default=1.5, show_default=True, help="Load, as a multiple of the capacity with a quarter."
 )
-@click.option("--quarter", default=1.5, show_default=True, help="The same with a quarter.")
 @click.option("--out", type=click.Path(path_type=Path))
 def cuts(runs: int, seed: int, half: float, quarter: float, out: Path | None) -> None:
-    """From the first `short` to the first late request."""
+    """Measure the time from the first reported shortage to the first late request."""
     lanes = 2
     found = [
         each
-        for lane in spread(cuts_on, [(n, lanes, runs, (half, quarter), seed) for n in range(lanes)])
+        for lane in run_in_processes(
+            run_cut_lane, [(n, lanes, runs, (half, quarter), seed) for n in range(lanes)]
+        )
         for each in lane
     ]
     lines = [
@@ -319,20 +358,22 @@
         "| lead, least | median | most | short after the cut, median | most | none late | left out |",
         "| --- " * 13 + "|",
     ]
-    for share in (0.5, 0.25):
-        of = [each for each in found if each.share == share]
-        leads = [each.lead_s for each in of if each.lead_s is not None]
-        shorts = [each.short_s for each in of if each.short_s is not None]
+    for cpu_share in (0.5, 0.25):
+        matching = [each for each in found if each.cpu_share == cpu_share]
+        leads = [each.lead_s for each in matching if each.lead_s is not None]
+        short_times = [each.reported_s for each in matching if each.reported_s is not None]
         first = sum(
-            each.short_s is not None and (each.late_s is None or each.short_s < each.late_s) for each in of
+            each.reported_s is not None and (each.first_late_s is None or each.reported_s < each.first_late_s)
+            for each in matching
         )
         figures = [f"{function(leads):.2f} s" if leads else "-" for function in (min, statistics.median, max)]
-        rates = " and ".join(sorted({f"{each.rate:.0f}" for each in of}))
+        rates = " and ".join(sorted({f"{each.rate_per_s:.0f}" for each in matching}))
         lines.append(
-            f"| {share:.0%} | {rates} | {len(of)} | {len(shorts)} "
-            f"| {sum(each < 0 for each in shorts)} | {first} "
-            f"| {' | '.join(figures)} | {statistics.median(shorts):.2f} s | {max(shorts):.2f} s "
-            f"| {sum(each.late_s is None for each in of)} | {sum(each.left_out for each in of)} |"
+            f"| {cpu_share:.0%} | {rates} | {len(matching)} | {len(short_times)} "
+            f"| {sum(each < 0 for each in short_times)} | {first} "
+            f"| {' | '.join(figures)} | {statistics.median(short_times):.2f} s | {max(short_times):.2f} s "
+            f"| {sum(each.first_late_s is None for each in matching)} "
+            f"| {sum(each.unsent_count for each in matching)} |"
         )
     lines += [
         "",
@@ -341,56 +382,64 @@
         "| CPU left | `short` | first late | lead |",
         "| --- | --- | --- | --- |",
     ]
-    for each in sorted(found, key=lambda each: -each.share):
-        first = "-" if each.short_s is None else f"{each.short_s:.2f}"
-        first = "before the cut" if (each.short_s or 0) < 0 else first
-        late = "-" if each.late_s is None else f"{each.late_s:.2f}"
+    for each in sorted(found, key=lambda each: -each.cpu_share):
+        first = "-" if each.reported_s is None else f"{each.reported_s:.2f}"
+        first = "before the cut" if (each.reported_s or 0) < 0 else first
+        late = "-" if each.first_late_s is None else f"{each.first_late_s:.2f}"
         lead = "-" if each.lead_s is None else f"{each.lead_s:.2f}"
-        lines.append(f"| {each.share:.0%} | {first} | {late} | {lead} |")
+        lines.append(f"| {each.cpu_share:.0%} | {first} | {late} | {lead} |")
     report(
         "CPU cut under constant load: `short` against the first late request",
         "cuts",
         lines,
         out,
         f"--runs {runs} --seed {seed} --half {half} --quarter {quarter}",
-        f"Wanted within {1000 * WANTED_S:.0f} ms; a run ends {AFTER_S:.0f} s after the cut. `left out`: "
-        f"requests that the generator itself sent over {1000 * GENERATOR_LATE_S:.0f} ms late.",
+        f"Wanted within {1000 * LATENCY_OBJECTIVE_S:.0f} ms; a run ends {OBSERVED_S:.0f} s after the cut. "
+        f"`left out`: requests that the generator itself sent over {1000 * MAX_SEND_DELAY_S:.0f} ms late.",
     )
 
 
-async def starved_run(
-    weighted: bool, workers: WorkerProcess, rate: float, seed: int, daemons: list[Daemon], seconds: float
+async def run_balancer(
+    weighted: bool,
+    workers: WorkersProcess,
+    rate_per_s: float,
+    seed: int,
+    daemons: list[Daemon],
+    seconds: float,
 ) -> tuple[int, int, int]:
-    """Requests, late or not served, and left out, of one balancer."""
-    balancer = Balancer([backend(each, weighted) for each in daemons], seed)
-    load = Load(balancer, rate, seed)
+    """Runs one balancer's load; returns its requests, those late or not served, and those left out."""
+    balancer = Balancer([make_backend(each, weighted) for each in daemons], seed)
+    load = Load(balancer, rate_per_s, seed)
     try:
         await load.run(seconds)
         await asyncio.gather(*load.tasks)
-        bad = sum(took > WANTED_S or answers != [200] for _, took, answers in load.done)
-        return len(load.done), bad, load.left_out
+        violations = sum(
+            elapsed_s > LATENCY_OBJECTIVE_S or answers != [200] for _, elapsed_s, answers in load.completed
+        )
+        return len(load.completed), violations, load.unsent_count
     finally:
         await balancer.stop()
 
 
-def calibrated() -> float:
-    """Requests a second of a scheduler that has a core to itself."""
+def measure_full_capacity() -> float:
+    """Returns the requests a second that a scheduler serves at most with a core to itself."""
     os.sched_setaffinity(0, {1})
-    workers = WorkerProcess({2})
+    workers = WorkersProcess({2})
     try:
-        return asyncio.run(served_rate(0, workers, 0))
+        return asyncio.run(measure_capacity(0, workers, 0))
     finally:
         workers.stop()
 
 
-def starved_on(weighted: bool, rate: float, seconds: float, seed: int) -> tuple[int, int, int]:
-    """One run: four schedulers on cores 0 to 3, the first one cut, two balancers, job workers on the rest."""
-    workers = WorkerProcess({4, 5})
+def run_starved(weighted: bool, rate_per_s: float, seconds: float, seed: int) -> tuple[int, int, int]:
+    """Runs four schedulers on cores 0 to 3, of which the first is cut, job workers on cores 4 and 5, and two
+    balancers on cores 6 and 7. Returns the sums of what run_balancer() returns."""
+    workers = WorkersProcess({4, 5})
     os.sched_setaffinity(0, {6, 7})
     daemons = [
         Daemon(
             f"n{n}",
-            workers.places,
+            workers.ports,
             ("agent_check",),
             cpus={n},
             classes=CLASSES,
@@ -398,47 +447,50 @@
         )
         for n in range(4)
     ]
-    others = Hogs(0, 3)
+    cpu_hogs = CpuHogs(0, 3)
     try:
-        time.sleep(6.0)  # the slow start is over
-        others.start()
+        time.sleep(6.0)  # until the slow start is over
+        cpu_hogs.start()
 
-        def one(number: int, pipe) -> None:
+        def run_balancer_process(number: int, pipe) -> None:
             os.sched_setaffinity(0, {6 + number})
-            run = starved_run(weighted, workers, rate * 2, seed * 10 + number, daemons, seconds)
+            run = run_balancer(weighted, workers, rate_per_s * 2, seed * 10 + number, daemons, seconds)
             pipe.send(asyncio.run(run))
 
         pipes = []
         for number in range(2):
-            ours, theirs = multiprocessing.Pipe()
-            multiprocessing.Process(target=one, args=(number, theirs), daemon=True).start()
-            pipes.append(ours)
+            receiver, sender = multiprocessing.Pipe()
+            multiprocessing.Process(target=run_balancer_process, args=(number, sender), daemon=True).start()
+            pipes.append(receiver)
         return tuple(map(sum, zip(*[each.recv() for each in pipes], strict=True)))
     finally:
-        others.stop()
+        cpu_hogs.stop()
         for each in daemons:
             each.close()
         workers.stop()
 
 
 @main.command()
-@click.option("--runs", default=5, show_default=True, help="For each kind of weight.")
+@click.option("--runs", default=5, show_default=True, help="Number of runs for each kind of weight.")
 @click.option("--seed", default=1, show_default=True)
-@click.option("--need", default=0.3, show_default=True, help="Of a core, at an equal share.")
+@click.option(
+    "--need", default=0.3, show_default=True, help="Load of each scheduler, as a share of its capacity."
+)
 @click.option("--seconds", default=20.0, show_default=True)
 @click.option("--out", type=click.Path(path_type=Path))
 def starved(runs: int, seed: int, need: float, seconds: float, out: Path | None) -> None:
-    """Late requests with one of four schedulers cut to a quarter of its core."""
+    """Measure late requests with one of four schedulers cut to a quarter of its core."""
     lines = [
         "| weight | runs | requests | late or unserved | mean share | least | most | left out |",
         "| --- " * 8 + "|",
     ]
-    most = spread(calibrated, [()])[0]
+    capacity = run_in_processes(measure_full_capacity, [()])[0]
     for weighted in (False, True):
         found = [
-            spread(starved_on, [(weighted, need * most, seconds, seed * 100 + n)])[0] for n in range(runs)
+            run_in_processes(run_starved, [(weighted, need * capacity, seconds, seed * 100 + n)])[0]
+            for n in range(runs)
         ]
-        shares = [bad / total for total, bad, _ in found]
+        shares = [violations / total for total, violations, _ in found]
         lines.append(
             f"| {'told' if weighted else 'fixed'} | {runs} | {sum(each[0] for each in found)} "
             f"| {sum(each[1] for each in found)} | {statistics.mean(shares):.1%} "
@@ -451,8 +503,8 @@
         out,
         f"--runs {runs} --seed {seed} --need {need} --seconds {seconds}",
         f"Each run {seconds:.0f} s from the cut on, at {need:.0%} of its most for each "
-        f"scheduler, of {most:.0f} requests a second at most; agent-check every second. "
-        f"Wanted within {1000 * WANTED_S:.0f} ms.",
+        f"scheduler, of {capacity:.0f} requests a second at most; agent-check every second. "
+        f"Wanted within {1000 * LATENCY_OBJECTIVE_S:.0f} ms.",
     )
 
 
@@ -460,8 +512,8 @@
     table = "\n".join(lines)
     click.echo(table)
     if out:
-        again = f"    .venv/bin/python -m measure.cpu {command} {options}"
-        out.write_text(f"# {title}\n\n{again}\n\n{text}\n\n{table}\n")
+        command_line = f"    .venv/bin/python -m measure.cpu {command} {options}"
+        out.write_text(f"# {title}\n\n{command_line}\n\n{text}\n\n{table}\n")
 
 
 if __name__ == "__main__":
--- a/measure/drains.py
+++ b/measure/drains.py
@@ -1,9 +1,10 @@
 """Measures how late new work still arrives after a drain is announced, for every protocol.
 
-Two schedulers run under load, drawn from a seed, behind one stand-in balancer. One of them is drained, by command or by SIGTERM,
-and then undrained or restarted. Half of the drains begin at the worst moment, just after a health check.
-The measurement counts the requests that the balancer sent to the draining scheduler, and those that it
-accepted, more than 2 s after the announcement, and the requests without exactly one final answer.
+Two schedulers run under load, drawn from a seed, behind one stand-in balancer. One of them is drained, by
+command or by SIGTERM, and then undrained or restarted. Half of the drains begin at the worst moment, just
+after a health check. The measurement counts the requests that the balancer sent to the draining scheduler,
+and those that it accepted, more than 2 s after the announcement, and the requests without exactly one final
+answer.
 
     .venv/bin/python -m measure.drains --drains 200 --out docs/results/balancers-drains.md
 """
@@ -314,9 +315,9 @@
             "# Drains: how late new work still arrives\n\n"
             f"    .venv/bin/python -m measure.drains --drains {drains} --lanes {lanes} --seed {seed}"
             "\n\n"
-            f"Two schedulers a lane, {lanes} lanes a protocol, all at once on 8 cores, {RATE_PER_S:.0f} requests "
-            f"a second a lane; {time.monotonic() - begun:.0f} s in all. Columns: see measure/drains.py."
-            f"\n\n{text}\n"
+            f"Two schedulers a lane, {lanes} lanes a protocol, all at once on 8 cores, {RATE_PER_S:.0f} "
+            f"requests a second a lane; {time.monotonic() - begun:.0f} s in all. Columns: see "
+            f"measure/drains.py.\n\n{text}\n"
         )
 
 
