--- a/measure/replacements.py
+++ b/measure/replacements.py
@@ -1,9 +1,10 @@
-"""Replaces a scheduler's process under load, again and again, on one listening socket that is held here.
+"""Replaces a scheduler's process repeatedly under load, on one listening socket that this program keeps open.
 
-Clients keep their connections and send one request after the other; job workers call back on connections of
-their own, which come to whichever process accepts. Counted: connections that were refused, reset or closed
-unread, requests without their one answer, attempts of one request at once, schedule-apply that ran twice, the
-time from start to yes, and the memory and descriptors that both processes hold together at their peak.
+Clients keep their connections and send one request after the other. Job workers call back on connections of
+their own, which either process may accept. The result counts the connections that were refused, reset or
+closed without an answer, the requests without exactly one answer, the attempts of one request at once, and
+the schedule-apply jobs that ran more than once. It also has the time from a start to the first successful
+health check, and the peak memory and descriptors of both processes together.
 
     .venv/bin/python -m measure.replacements --times 100 --out docs/results/replacements.md
 """
@@ -27,43 +28,47 @@
 from measure.workers import CallingWorkers
 
 CLASSES = (("status-read", 5000), ("schedule-apply", 25000), ("setpoint-push", 8000))
-YES_S = 6.0  # the platform's patience with a new process
-LOOK_S = 0.02  # between looks at memory and descriptors
+HEALTHY_TIMEOUT_S = 6.0  # the platform waits this long for a new process to be healthy
+SAMPLE_INTERVAL_S = 0.02  # between samples of memory and descriptors
 
 
 @dataclass
 class Result:
-    """Of some replacements."""
+    """Counts and peaks over a number of replacements."""
 
     replaced: int = 0
     requests: int = 0
     answers: Counter = field(default_factory=Counter)
-    connection_errors: Counter = field(default_factory=Counter)  # refused, reset or unread connections
+    connection_errors: Counter = field(default_factory=Counter)  # refused, reset, or closed unanswered
     unanswered: int = 0
-    most_attempts: int = 0
+    most_attempts_at_once: int = 0
     duplicate_runs: int = 0
-    yes_s: list[float] = field(default_factory=list)
-    left_s: list[float] = field(default_factory=list)
+    healthy_s: list[float] = field(default_factory=list)  # from each start to the first successful check
+    exit_s: list[float] = field(default_factory=list)  # from each SIGTERM to the end of the process
     memory_mb: float = 0.0
     descriptors: int = 0
     stderr_text: str = ""
 
 
 class ReplacementRun:
-    """One scheduler, its clients and its job workers."""
+    """A scheduler whose process is replaced, its clients and its job workers.
+
+    `limits` replaces limits of the daemon's configuration.
+    """
 
     def __init__(self, seed: int, clients: int, running_s: tuple[float, float], **limits: float) -> None:
         self.random = random.Random(seed)
         self.seed, self.clients, self.limits = seed, clients, {"sockets": 384, "memory_mb": 80, **limits}
-        self.listening = socket.create_server(("127.0.0.1", 0), backlog=512)
-        self.address: HostPort = self.listening.getsockname()
+        self.listening_socket = socket.create_server(("127.0.0.1", 0), backlog=512)
+        self.address: HostPort = self.listening_socket.getsockname()
         self.workers = CallingWorkers(running_s, seed, self.address)
         self.folder = tempfile.TemporaryDirectory()
-        self.result, self.count, self.over = Result(), 0, False
+        self.result, self.request_count, self.stopping = Result(), 0, False
         self.running: list[Program] = []
         self.discovery = "127.0.0.1:9"
 
     def start(self, fd: int | None = None, command: tuple[str, ...] = ("-m", "spanwing")) -> Program:
+        """Starts a process that inherits the listening socket; ROUTER_FD names `fd` if it is given."""
         members = [
             {
                 "id": each,
@@ -75,7 +80,7 @@
                 "size": 1.0,
                 "up_since_ms": 0,
             }
-            for each, port in self.places
+            for each, port in self.ports
         ]
         known = {"revision": 1, "complete": True, "members": members}
         config = {
@@ -88,48 +93,52 @@
             "limits": self.limits,
             "settings": settings(specifics={"tells_start": True, "progress_ms": 1000}),
         }
-        fd = self.listening.fileno() if fd is None else fd
+        fd = self.listening_socket.fileno() if fd is None else fd
         started = Program(
             config,
             "",
             command=command,
-            inherited_fds=(self.listening.fileno(),),
+            inherited_fds=(self.listening_socket.fileno(),),
             environment={"ROUTER_FD": str(fd), "TMPDIR": self.folder.name},
         )
         self.running.append(started)
         return started
 
     async def open(self) -> Program:
-        self.places = await self.workers.start(8)
+        """Starts the job workers, the first process and the clients; returns the process."""
+        self.ports = await self.workers.start(8)
         first = await asyncio.to_thread(self.start)
         if not await asyncio.to_thread(first.serving):
             raise RuntimeError(first.stderr_text())
         self.tasks = [asyncio.ensure_future(self._client(n)) for n in range(self.clients)]
-        self.looks = asyncio.ensure_future(self._look())
+        self.sampling = asyncio.ensure_future(self._sample_usage())
         return first
 
     async def replace(self, old: Program) -> Program:
-        """As the platform does: the old one hears SIGTERM at the new one's yes."""
-        at = time.monotonic()
+        """Replaces a process as the platform does: SIGTERM to the old one once the new one is healthy."""
+        started = time.monotonic()
         new = await asyncio.to_thread(self.start)
         if not await asyncio.to_thread(new.serving):
             raise RuntimeError(new.stderr_text())
-        await self.wait_until_healthy(new, at + YES_S)
-        self.result.yes_s.append(time.monotonic() - at)
+        await self.wait_until_healthy(new, started + HEALTHY_TIMEOUT_S)
+        self.result.healthy_s.append(time.monotonic() - started)
         await self.stop_process(old)
         self.result.replaced += 1
         return new
 
     async def wait_until_healthy(self, process: Program, end: float) -> None:
+        """Waits for a successful health check; raises RuntimeError at the monotonic time `end`."""
         while not await self.is_healthy(process):
             if time.monotonic() > end:
-                raise RuntimeError(f"no yes: {process.stderr_text()}")
+                raise RuntimeError(f"health check did not succeed in time: {process.stderr_text()}")
             await asyncio.sleep(0.01)
 
     async def is_healthy(self, process: Program) -> bool:
+        """Returns whether the health check of the management address succeeds."""
         return b" 200 " in await self.get_management(process, "healthcheck")
 
     async def get_management(self, process: Program, path: str) -> bytes:
+        """Returns the whole answer to a GET on the management address."""
         reader, writer = await asyncio.open_connection(*process.addresses["management"])
         writer.write(f"GET /{path} HTTP/1.1\r\n\r\n".encode())
         try:
@@ -138,28 +147,31 @@
             writer.close()
 
     async def stop_process(self, old: Program) -> None:
-        at = time.monotonic()
+        """Sends SIGTERM, waits until the process has ended, and removes it."""
+        started = time.monotonic()
         old.process.terminate()
         await asyncio.to_thread(old.process.wait, 30)
-        self.result.left_s.append(time.monotonic() - at)
+        self.result.exit_s.append(time.monotonic() - started)
         self.remove_process(old)
 
     def remove_process(self, ended: Program) -> None:
+        """Keeps what the process wrote to standard error, and kills it if it runs."""
         self.running.remove(ended)
         self.result.stderr_text += ended.stderr_text()
         ended.close()
 
     async def close(self) -> Result:
-        self.over = True
+        """Stops the clients, the processes and the job workers, and returns the result."""
+        self.stopping = True
         await asyncio.gather(*self.tasks)
-        self.looks.cancel()
+        self.sampling.cancel()
         for each in list(self.running):
             self.remove_process(each)
         self.workers.stop()
-        self.listening.close()
+        self.listening_socket.close()
         self.folder.cleanup()
         result = self.result
-        result.requests, result.most_attempts = self.count, self.workers.most_attempts
+        result.requests, result.most_attempts_at_once = self.request_count, self.workers.most_attempts_at_once
         result.connection_errors["call-backs"] = self.workers.failed_callbacks
         result.duplicate_runs = sum(
             count > 1 for job, count in self.workers.run_counts.items() if "schedule-apply" in job
@@ -167,12 +179,12 @@
         return result
 
     async def _client(self, number: int) -> None:
-        """One request after the other, on one connection for as long as that lasts, or a fresh one each."""
+        """Sends one request after the other, on a connection that every fourth client replaces each time."""
         reader = writer = None
-        while not self.over:
-            cls, budget = self.random.choices(CLASSES, (49, 32, 19))[0]
-            self.count += 1
-            job = f"{cls}-{self.seed}-{self.count}"
+        while not self.stopping:
+            cls, budget_ms = self.random.choices(CLASSES, (49, 32, 19))[0]
+            self.request_count += 1
+            job = f"{cls}-{self.seed}-{self.request_count}"
             if writer is None:
                 try:
                     reader, writer = await asyncio.open_connection(*self.address)
@@ -180,16 +192,16 @@
                     self.result.connection_errors["refused"] += 1
                     self.result.unanswered += 1
                     continue
-            head = (
-                f"POST /{cls} HTTP/1.1\r\nHost: x\r\nX-Call-Id: {job}\r\nX-Budget-Ms: {budget}\r\n"
+            request = (
+                f"POST /{cls} HTTP/1.1\r\nHost: x\r\nX-Call-Id: {job}\r\nX-Budget-Ms: {budget_ms}\r\n"
                 f"Idempotency-Key: {job}\r\nContent-Length: 4\r\n\r\n"
             ).encode()
             try:
-                cut = self.random.randrange(len(head))
-                writer.write(head[:cut])
-                if number % 3 == 0:  # some messages come in two parts
+                split_at = self.random.randrange(len(request))
+                writer.write(request[:split_at])
+                if number % 3 == 0:  # every third client sends the request in two parts
                     await asyncio.sleep(0.01)
-                writer.write(head[cut:] + b"body")
+                writer.write(request[split_at:] + b"body")
                 answer = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
                 size = int(re.search(r"Content-Length: (\d+)", answer)[1])
                 body = (await reader.readexactly(size)).decode()
@@ -209,41 +221,47 @@
         if writer is not None:
             writer.close()
 
-    async def _look(self) -> None:
+    async def _sample_usage(self) -> None:
         while True:
-            memory, descriptors = await asyncio.to_thread(held, [each.process.pid for each in self.running])
-            self.result.memory_mb = max(self.result.memory_mb, memory)
+            memory_mb, descriptors = await asyncio.to_thread(
+                read_usage, [each.process.pid for each in self.running]
+            )
+            self.result.memory_mb = max(self.result.memory_mb, memory_mb)
             self.result.descriptors = max(self.result.descriptors, descriptors)
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
+
 
+def read_usage(processes: list[int]) -> tuple[float, int]:
+    """Returns the memory in MB and the descriptors of the processes together.
 
-def held(processes: list[int]) -> tuple[float, int]:
-    """MB and descriptors of some processes together; what several map is held once, so each has its part."""
-    memory = descriptors = 0
+    Memory is the proportional set size, which divides shared pages among the processes that map them.
+    """
+    memory_kb = descriptors = 0
     for pid in processes:
         try:
             status = Path(f"/proc/{pid}/smaps_rollup").read_text()
-            memory += int(re.search(r"Pss:\s+(\d+) kB", status)[1])
+            memory_kb += int(re.search(r"Pss:\s+(\d+) kB", status)[1])
             descriptors += len(os.listdir(f"/proc/{pid}/fd"))
-        except (OSError, TypeError):  # it has just ended
+        except (OSError, TypeError):  # the process has just ended
             continue
-    return memory / 1024, descriptors
+    return memory_kb / 1024, descriptors
 
 
-async def lane(times: int, seed: int, clients: int, **limits: float) -> Result:
-    """Some replacements, one after the other."""
-    running = ReplacementRun(seed, clients, (0.05, 1.5), **limits)
-    current = await running.open()
+async def run_replacements(times: int, seed: int, clients: int, **limits: float) -> Result:
+    """Replaces the process `times` times and returns the result."""
+    replacement_run = ReplacementRun(seed, clients, (0.05, 1.5), **limits)
+    current = await replacement_run.open()
     for _ in range(times):
-        await asyncio.sleep(running.random.uniform(0.2, 1.0))
-        current = await running.replace(current)
+        await asyncio.sleep(replacement_run.random.uniform(0.2, 1.0))
+        current = await replacement_run.replace(current)
     await asyncio.sleep(0.5)
-    return await running.close()
+    return await replacement_run.close()
 
 
-def row(name: str, limits: dict[str, float], result: Result) -> str:
-    yes, left = sorted(result.yes_s), sorted(result.left_s)
-    connection_errors = sum(result.connection_errors.values())
+def format_row(name: str, limits: dict[str, float], result: Result) -> str:
+    """Returns a line of the Markdown table."""
+    healthy_s, exit_s = sorted(result.healthy_s), sorted(result.exit_s)
+    error_count = sum(result.connection_errors.values())
     failed = sum(count for status, count in result.answers.items() if status not in ("200", "503"))
     answers = result.answers
     cells = [
@@ -253,12 +271,12 @@
         answers["200"],
         answers["503"],
         failed,
-        connection_errors,
+        error_count,
         result.unanswered,
-        result.most_attempts,
+        result.most_attempts_at_once,
         result.duplicate_runs,
-        f"{yes[len(yes) // 2]:.2f}, {yes[-1]:.2f}",
-        f"{left[len(left) // 2]:.2f}, {left[-1]:.2f}",
+        f"{healthy_s[len(healthy_s) // 2]:.2f}, {healthy_s[-1]:.2f}",
+        f"{exit_s[len(exit_s) // 2]:.2f}, {exit_s[-1]:.2f}",
         f"{result.memory_mb:.0f} of {limits['memory_mb']:g}",
         f"{result.descriptors} of {limits['sockets']:g}",
     ]
@@ -281,8 +299,8 @@
         ("usual", {"sockets": 384, "memory_mb": 80}),
         ("halved", {"sockets": 192, "memory_mb": 48}),
     ):
-        result = asyncio.run(lane(times, 1, clients, **limits))
-        lines.append(row(name, limits, result))
+        result = asyncio.run(run_replacements(times, 1, clients, **limits))
+        lines.append(format_row(name, limits, result))
         click.echo(
             f"{lines[-1]}\n{dict(result.connection_errors)} {dict(result.answers)}\n"
             f"{result.stderr_text[-2000:]}",
--- a/measure/workers.py
+++ b/measure/workers.py
@@ -77,7 +77,9 @@
     def __init__(self, running_s: tuple[float, float], seed: int, callback_address: HostPort) -> None:
         super().__init__(running_s, seed)
         self.callback_address, self.attempts_in_flight = callback_address, Counter()
-        self.most_attempts = 0  # of one request at once; one cancelled while its 202 is on the way counts too
+        self.most_attempts_at_once = (
+            0  # of one request at once; one cancelled while its 202 is on the way counts too
+        )
         self.idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
         self.tasks: set[asyncio.Task] = set()
         self.failed_callbacks = 0  # tries on a connection that was refused, reset or closed without an answer
@@ -100,7 +102,7 @@
                     status, job = 202, headers["x-call-id"]
                     self.run_counts[job] += 1
                     self.attempts_in_flight[job] += 1
-                    self.most_attempts = max(self.most_attempts, self.attempts_in_flight[job])
+                    self.most_attempts_at_once = max(self.most_attempts_at_once, self.attempts_in_flight[job])
                     task = self.running[name, job] = asyncio.ensure_future(self._run_job(name, job))
                     self.tasks.add(task)
                     task.add_done_callback(self.tasks.discard)
