--- a/measure/fleet/followers.py
+++ b/measure/fleet/followers.py
@@ -18,7 +18,7 @@
 import click
 from tornado.ioloop import IOLoop
 
-from measure.daemons import ROOT, TICKS
+from measure.daemons import ROOT, CLOCK_TICKS_PER_S
 from measure.fleet.ground import HOST, ProcessFleet
 from spanwing.actor import spawn_task
 from spanwing.net.address import Address
@@ -122,7 +122,7 @@
     """Returns the processor time that a process of the fleet has used, in s."""
     with open(f"/proc/{fleet.process(name).pid}/stat") as file:
         fields = file.read().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 def measure(count: int) -> str:
--- a/measure/fleet/ground.py
+++ b/measure/fleet/ground.py
@@ -307,7 +307,7 @@
         is_serving = program.serving()
         timeout.cancel()
         if not is_serving:
-            raise RuntimeError(f"{name} did not start: {program.said()}")
+            raise RuntimeError(f"{name} did not start: {program.stderr_text()}")
         self.starting.discard(name)
         self.set_link_targets(
             {f"{worker}>{name}": program.addresses["clients"][1] for worker in self.workers}
@@ -332,7 +332,7 @@
         if name in self.programs:
             program = self.programs.pop(name)
             with open(self.path / f"{name}.events", "a") as file:
-                file.write(program.said())
+                file.write(program.stderr_text())
             program.close()
 
     def stop(self, *names: str) -> None:
--- a/measure/fleet/long.py
+++ b/measure/fleet/long.py
@@ -37,7 +37,7 @@
     """
     learned: dict[str, list[tuple[float, str]]] = {}
     for name in fleet.reachable_schedulers():
-        for line in fleet.programs[name].said().splitlines():
+        for line in fleet.programs[name].stderr_text().splitlines():
             try:
                 event = json.loads(line)
             except ValueError:
--- a/tests/test_balancers.py
+++ b/tests/test_balancers.py
@@ -24,8 +24,8 @@
 from player import PATIENCE_S, ROOT, Daemon, config, member
 from standins import FaktorySpeaker
 
-from measure.balancers import PROTOCOLS, Backend, Judge, Seen, agent_reply
-from measure.drains import Lane
+from measure.balancers import PROTOCOLS, Backend, HealthTracker, CheckResult, parse_agent_reply
+from measure.drains import DrainRun
 from spanwing.cli import client
 from spanwing.health.settings import HealthSettings
 from spanwing.health.signals import ClassLoad, CpuUsage, HealthSignals, WorkerCounts
@@ -74,7 +74,7 @@
             members = [member("w1", worker.getsockname()[1])]
         started = Daemon({**config(members, **settings), "name": name}, fronts).ready()
         self.addCleanup(started.close)
-        self.addCleanup(lambda: self.assertNotIn("Traceback", started.said()))
+        self.addCleanup(lambda: self.assertNotIn("Traceback", started.stderr_text()))
         return started
 
     def listener_tables(self, **listeners: str) -> str:
@@ -92,7 +92,7 @@
         """No request is accepted after 2 s, and each accepted request gets one final answer."""
 
         def run_lane(name: str, by_signal: bool):
-            lane = Lane(name, 11, by_signal)
+            lane = DrainRun(name, 11, by_signal)
             return name, asyncio.run(asyncio.wait_for(lane.run(2), 90))
 
         with ThreadPoolExecutor(len(PROTOCOLS) + 1) as pool:
@@ -102,7 +102,7 @@
                 name, result = each.result()
                 with self.subTest(name):
                     self.assertEqual(
-                        (result.drains, result.taken_late, result.unanswered, result.twice), (2, 0, 0, 0)
+                        (result.drains, result.accepted_late, result.unanswered, result.duplicate_runs), (2, 0, 0, 0)
                     )
                     self.assertGreater(result.requests, 0)
 
@@ -188,7 +188,7 @@
         def reload(text: str, expected_text: str) -> None:
             fronts.write_text(text)
             daemon.process.send_signal(signal.SIGHUP)
-            self.wait_until(lambda: expected_text in daemon.said(), expected_text)
+            self.wait_until(lambda: expected_text in daemon.stderr_text(), expected_text)
 
         reload(
             self.listener_tables(health=f"127.0.0.1:{second_port}", agent_check=f"127.0.0.1:{busy_port}")
@@ -256,7 +256,7 @@
             is_done.set()
             client_thread.join()
         self.assertTrue(successes and all(successes))
-        self.assertLess(daemon.resident() - daemon.small, 16)
+        self.assertLess(daemon.peak_memory_mb() - daemon.small, 16)
 
     def test_checks_that_name_a_class_and_half_close(self) -> None:
         fronts = '[agent_check]\nlisten = "127.0.0.1:0"\nasks = true\nmaxconn = true\n'
@@ -456,12 +456,12 @@
 
 class HelperTests(unittest.TestCase):
     def test_stand_in_balancers_parse_replies_by_the_specifications(self) -> None:
-        self.assertEqual(agent_reply("ready up 40% maxconn:9\n"), Seen(True, 40, False, True))
-        self.assertEqual(agent_reply("drain\n").drain, True)
-        self.assertEqual(agent_reply("down#no 90% up\n"), Seen(False, None, None, True))
+        self.assertEqual(parse_agent_reply("ready up 40% maxconn:9\n"), CheckResult(True, 40, False, True))
+        self.assertEqual(parse_agent_reply("drain\n").drain, True)
+        self.assertEqual(parse_agent_reply("down#no 90% up\n"), CheckResult(False, None, None, True))
         with self.assertRaises(ValueError):
-            agent_reply("fine")
-        judge = Judge(rise=2, fall=3)
+            parse_agent_reply("fine")
+        judge = HealthTracker(rise=2, fall=3)
         for is_up, expected in (
             (False, True),
             (False, True),
@@ -472,9 +472,9 @@
             (True, False),
             (True, True),
         ):
-            judge.take(Seen(is_up))
+            judge.record(CheckResult(is_up))
             self.assertEqual(judge.up, expected)
-        self.assertEqual(Backend("a", ("", 0), ("", 0), PROTOCOLS["envoy-http"]).judge.share, 100)
+        self.assertEqual(Backend("a", ("", 0), ("", 0), PROTOCOLS["envoy-http"]).health_tracker.effective_weight, 100)
 
     def test_rate_and_number_of_events_are_bounded(self) -> None:
         limiter = RateLimiter(1.0, 2.0)
--- a/tests/test_grpc.py
+++ b/tests/test_grpc.py
@@ -237,7 +237,7 @@
             self.assertEqual(next(watch).status, health_pb2.HealthCheckResponse.NOT_SERVING)
             self.assertEqual(stub.Check(request_message, timeout=PATIENCE_S).status, 2)
         self.assertEqual(daemon.wait()[0], 0)
-        self.assertNotIn("Traceback", daemon.said())
+        self.assertNotIn("Traceback", daemon.stderr_text())
 
 
 if __name__ == "__main__":
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -108,7 +108,7 @@
                 "--json",
             )
             workers.stop()
-            return json.loads(completed.stdout), workers.ran
+            return json.loads(completed.stdout), workers.run_counts
 
         report, ran = asyncio.run(run())
         self.assertGreater(report["asked"], 5)
