--- a/benchmarks/large_list.py
+++ b/benchmarks/large_list.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from measure.daemons import settings
-from measure.soak.stand_ins import unlinked_members
+from measure.soak.stand_ins import placeholder_members
 from spanwing import interface as api
 from spanwing.core.clock import Clock
 from spanwing.core.request_manager import RequestManager
@@ -39,7 +39,7 @@
     """Returns a list of count workers, or a partial list of the first `changed` of them if that is not 0."""
     members = [
         DiscoveredWorker(each.id, f"{each.host}:9", "a", "big", 0, phase)
-        for each in unlinked_members(count, phase, revision)
+        for each in placeholder_members(count, phase, revision)
     ]
     return DiscoveredEndpoints(revision, not changed, members[: changed or count])
 
--- a/measure/soak/drawn_plan.py
+++ b/measure/soak/drawn_plan.py
@@ -24,7 +24,7 @@
         drain_grace_s=draw.choice((0.3, 1.0, 2.0, 2.0, 2.0)),
         pushed=draw.random() < 0.2,
         rate_per_s=min(rate_per_s, WORKER_RATE_PER_S * workers / schedulers),
-        unlinked_workers=draw.choice((0, 0, *MANY_WORKERS)),
+        placeholder_workers=draw.choice((0, 0, *MANY_WORKERS)),
         deadline_scale=draw.choice((0.25, 0.5, 1.0, 1.0)),
         sockets=sockets,
         memory_mb=memory_mb,
--- a/measure/soak/fleet.py
+++ b/measure/soak/fleet.py
@@ -20,7 +20,7 @@
     DiscoveryStandIn,
     Member,
     WorkerStandIn,
-    unlinked_members,
+    placeholder_members,
 )
 
 CLASSES: dict[str, dict[str, float]] = {
@@ -52,7 +52,7 @@
     rate_per_s: float = 10.0
     command: tuple[str, ...] = ("-m", "spanwing")
     environment: dict[str, str] = field(default_factory=dict)
-    unlinked_workers: int = 0  # further members of the list, which drain from the start
+    placeholder_workers: int = 0  # further members of the list, which drain from the start
     deadline_scale: float = 1.0  # of all classes
     sockets: int = 1024
     memory_mb: int = 192
@@ -117,7 +117,7 @@
         """Starts the stand-ins and links, then all schedulers side by side, then the clients."""
         self.tasks.append(asyncio.ensure_future(self._measure_stalls()))
         await self.discovery.listen()
-        for member in unlinked_members(self.plan.unlinked_workers, "leaving", self.discovery.revision):
+        for member in placeholder_members(self.plan.placeholder_workers, "leaving", self.discovery.revision):
             self.discovery.members[member.id] = member
         for worker in self.workers.values():
             await worker.listen()
--- a/measure/soak/run.py
+++ b/measure/soak/run.py
@@ -125,7 +125,7 @@
             case FaultKind.DISCOVERY_DOWN:
                 await self._disturb_discovery(fleet.names, LinkState(refuses=True), fault.span_s)
             case FaultKind.LIST_CHANGE:
-                fleet.discovery.toggle_unlinked(LIST_CHANGE_SHARE, fleet.draw)
+                fleet.discovery.toggle_placeholders(LIST_CHANGE_SHARE, fleet.draw)
             case FaultKind.DISCOVERY_RESET:
                 fleet.discovery.links[scheduler].reset_connections()
             case FaultKind.WORKER_RESET:
@@ -255,7 +255,7 @@
             )
     verdict = f"{len(result.failures)} FAILURES" if result.failures else "ok"
     click.echo(
-        f"seed {seed}: {verdict}; {plan.schedulers}x{plan.workers}+{plan.unlinked_workers}, "
+        f"seed {seed}: {verdict}; {plan.schedulers}x{plan.workers}+{plan.placeholder_workers}, "
         f"{result.requests} requests, {result.attempts} attempts, "
         f"{len(result.faults)} faults, stall {result.longest_stall_s:.2f} s, "
         f"answers {dict(sorted(result.statuses.items()))}"
--- a/measure/soak/stand_ins.py
+++ b/measure/soak/stand_ins.py
@@ -71,7 +71,7 @@
         return f"{self.host}:{self.ports.get(scheduler, UNLINKED_PORT)}"
 
 
-def unlinked_members(count: int, phase: str, revision: int) -> list[Member]:
+def placeholder_members(count: int, phase: str, revision: int) -> list[Member]:
     """Returns members that are listed and that nobody listens for, at addresses of their own."""
     return [
         Member(f"s-{number:08x}", phase, revision=revision, host=f"127.77.{number // 250}.{1 + number % 250}")
@@ -114,9 +114,9 @@
         for event in list(self.waiting):
             event.set()
 
-    def add_unlinked(self, count: int, phase: str) -> None:
+    def add_placeholders(self, count: int, phase: str) -> None:
         """Lists further members, in the revision that the next change makes."""
-        for member in unlinked_members(count, phase, self.revision + 1):
+        for member in placeholder_members(count, phase, self.revision + 1):
             self.members[member.id] = member
 
     def encoded(self, scheduler: str, since: int | None) -> bytes:
@@ -147,7 +147,7 @@
         framed = b"".join(b"%x\r\n%s\r\n" % (len(chunk), chunk) for chunk in chunks)
         return b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n" + framed + b"0\r\n\r\n"
 
-    def toggle_unlinked(self, share: float, draw: random.Random) -> None:
+    def toggle_placeholders(self, share: float, draw: random.Random) -> None:
         """Changes a share of the members that nobody listens for, in one revision."""
         unlinked = [each for each in self.members.values() if not each.ports]
         self.revision += 1
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -18,11 +18,11 @@
 
     async def run_drain(self, listed: int, joining: int) -> None:
         """Drains worker w0 in a change of a list of so many workers, with so many workers joining in it."""
-        fleet = Fleet(FleetPlan(rate_per_s=RATE_PER_S, unlinked_workers=listed), seed=1)
+        fleet = Fleet(FleetPlan(rate_per_s=RATE_PER_S, placeholder_workers=listed), seed=1)
         try:
             await fleet.start()
             await asyncio.sleep(1.5)
-            fleet.discovery.add_unlinked(joining, "leaving")
+            fleet.discovery.add_placeholders(joining, "leaving")
             fleet.discovery.change(["w0"], "leaving")
             message_count = len(fleet.records.messages)
             await asyncio.sleep(5.0)
