--- a/measure/soak/run.py
+++ b/measure/soak/run.py
@@ -199,10 +199,10 @@
                 await asyncio.sleep(fault.span_s)
                 worker.mode = WorkerMode.UP
             case FaultKind.WORKER_DRAIN:
-                worker.drains = True
+                worker.is_draining = True
                 fleet.discovery.change([name], "leaving")
                 await asyncio.sleep(fault.span_s)
-                worker.drains = False
+                worker.is_draining = False
                 fleet.discovery.change([name], "active")
             case FaultKind.WORKER_CRASH:
                 worker.crash()
--- a/measure/soak/stand_ins.py
+++ b/measure/soak/stand_ins.py
@@ -243,7 +243,7 @@
 
     def __init__(self, name: str, records: Records, run_s: dict[str, float], draw: random.Random) -> None:
         self.name, self.records, self.run_s, self.draw = name, records, run_s, draw
-        self.mode, self.port, self.drains = WorkerMode.UP, 0, False
+        self.mode, self.port, self.is_draining = WorkerMode.UP, 0, False
         self.jobs: dict[str, asyncio.Task[None]] = {}
         self.callback_ports: dict[str, int] = {}
         self.writers: set[asyncio.StreamWriter] = set()
@@ -286,7 +286,7 @@
     def _handle(self, first: str, headers: dict[str, str], _: bytes) -> bytes | None:
         method, target, _ = first.split(" ", 2)
         if method == "GET":  # a worker that drains says so itself
-            return response(503 if self.drains else 200, b"{}")
+            return response(503 if self.is_draining else 200, b"{}")
         if method == "DELETE":
             request = target.rsplit("/", 1)[1]
             task = self.jobs.pop(request, None)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -101,7 +101,7 @@
             await asyncio.sleep(1.0)
             restart = asyncio.ensure_future(fleet.restart_scheduler("n0", True, down_s=10.5))
             await asyncio.sleep(0.3)
-            fleet.workers["w0"].drains = True
+            fleet.workers["w0"].is_draining = True
             fleet.discovery.change(["w0"], "leaving")
             await asyncio.sleep(8.0)
             link = fleet.discovery.links["n0"]
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -25,7 +25,7 @@
             stepped_s = fleet.records.starts[0][1] + STEP_AT_S
             await asyncio.sleep(STEP_AT_S + 2.5)
             fleet.discovery.links["n0"].set_state(LinkState(holds_answers=is_silent))
-            fleet.workers["w0"].drains = True
+            fleet.workers["w0"].is_draining = True
             fleet.discovery.change(["w0"], "leaving")
             await asyncio.sleep(11.0 if is_silent else 3.5)
         finally:
