--- a/measure/soak/fleet.py
+++ b/measure/soak/fleet.py
@@ -203,7 +203,7 @@
         if not await asyncio.to_thread(program.serving):
             self.exits.append(f"{name} did not start: {program.said()}")
             return
-        self.records.starts.append((name, begun_s))
+        self.records.scheduler_starts.append((name, begun_s))
         port = program.addresses["clients"][1]
         self.clients[name].port = port
         self.clients[name].idle.clear()
--- a/measure/soak/records.py
+++ b/measure/soak/records.py
@@ -98,4 +98,4 @@
     discovery_outages: list[Outage] = field(default_factory=list)
     process_outages: list[Outage] = field(default_factory=list)
     crowds: list[Outage] = field(default_factory=list)  # idle clients fill a scheduler's descriptors
-    starts: list[tuple[str, float]] = field(default_factory=list)  # scheduler, time it was started
+    scheduler_starts: list[tuple[str, float]] = field(default_factory=list)  # scheduler, time it was started
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -69,7 +69,7 @@
             await asyncio.sleep(5.5)
         finally:
             await fleet.stop()
-        started_s = fleet.records.starts[-1][1]
+        started_s = fleet.records.scheduler_starts[-1][1]
         answered = [each for each in fleet.records.requests if each.sent_s > started_s and each.status == 200]
         self.assertGreater(len(answered), 10)
         return judge(fleet.records, fleet.rules._replace(lag_s=LAG_S))
@@ -112,7 +112,7 @@
             await asyncio.sleep(6.0)
         finally:
             await fleet.stop()
-        started_s = fleet.records.starts[-1][1]
+        started_s = fleet.records.scheduler_starts[-1][1]
         served = [each for each in fleet.records.requests if each.sent_s > started_s and each.status == 200]
         return judge(fleet.records, fleet.rules._replace(lag_s=LAG_S)), len(served)
 
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -22,7 +22,7 @@
         fleet = Fleet(FleetPlan(rate_per_s=40.0, command=command), seed=1)
         try:
             await fleet.start()
-            stepped_s = fleet.records.starts[0][1] + STEP_AT_S
+            stepped_s = fleet.records.scheduler_starts[0][1] + STEP_AT_S
             await asyncio.sleep(STEP_AT_S + 2.5)
             fleet.discovery.links["n0"].set_state(LinkState(holds_answers=is_silent))
             fleet.workers["w0"].is_draining = True
