--- a/measure/soak/planted.py
+++ b/measure/soak/planted_bugs.py
@@ -1,6 +1,6 @@
 """A scheduler with a planted bug, to show that the soak's oracle can fail; nothing else starts one.
 
-python -m measure.soak.planted BUG
+python -m measure.soak.planted_bugs BUG
 """
 
 from __future__ import annotations
--- a/measure/soak/run.py
+++ b/measure/soak/run.py
@@ -32,7 +32,7 @@
 from measure.soak.faults import GRACE_OF_CRASH_S, Fault, FaultKind, draw_faults
 from measure.soak.fleet import USUAL_ODD_SHARE, Fleet, FleetPlan
 from measure.soak.oracle import judge
-from measure.soak.planted import PLANTED_BUGS
+from measure.soak.planted_bugs import PLANTED_BUGS
 from measure.soak.records import Outage
 from measure.soak.stand_ins import AnswerFault, CrowdStandIn, WorkerMode
 
@@ -296,7 +296,7 @@
 ) -> None:
     """Plays one seed, or many."""
     if seed is not None:
-        command = ("-m", "measure.soak.planted", bug) if bug else ("-m", "spanwing")
+        command = ("-m", "measure.soak.planted_bugs", bug) if bug else ("-m", "spanwing")
         command = ("-m", "measure.soak.shimmed", f"{seed} SCHEDULER") if shim else command
         plan, more = FleetPlan(schedulers, workers, grace, pushed, rate, command), ()
         if drawn:
