--- a/measure/soak/run.py
+++ b/measure/soak/run.py
@@ -297,7 +297,7 @@
     """Plays one seed, or many."""
     if seed is not None:
         command = ("-m", "measure.soak.planted_bugs", bug) if bug else ("-m", "spanwing")
-        command = ("-m", "measure.soak.shimmed", f"{seed} SCHEDULER") if shim else command
+        command = ("-m", "measure.soak.syscall_shim", f"{seed} SCHEDULER") if shim else command
         plan, more = FleetPlan(schedulers, workers, grace, pushed, rate, command), ()
         if drawn:
             plan = replace(draw_plan(seed, rate), command=command)
--- a/measure/soak/shimmed.py
+++ b/measure/soak/syscall_shim.py
@@ -1,8 +1,8 @@
 """A scheduler whose system calls fail and whose wall clock is stepped, by a script drawn from a seed.
 
-    python -m measure.soak.shimmed SEED
-    python -m measure.soak.shimmed step:AT_S:BY_S      steps the wall clock once, and fails no call
-    python -m measure.soak.shimmed fail:CALL:ERROR:FROM_S:TO_S      fails these calls alone
+    python -m measure.soak.syscall_shim SEED
+    python -m measure.soak.syscall_shim step:AT_S:BY_S      steps the wall clock once, and fails no call
+    python -m measure.soak.syscall_shim fail:CALL:ERROR:FROM_S:TO_S      fails these calls alone
 
 Errors are those that Linux documents. They come in spans of some hundred milliseconds. Only connections that
 the scheduler opened itself break: on its clients' an error would be a lost request of the shim's making.
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -131,7 +131,7 @@
 
 class BacklogWaits(unittest.IsolatedAsyncioTestCase):
     async def test_budgets_are_reduced_by_the_wait_in_the_backlog(self) -> None:
-        command = ("-m", "measure.soak.shimmed", "fail:accept:ENOBUFS:2.0:2.9")
+        command = ("-m", "measure.soak.syscall_shim", "fail:accept:ENOBUFS:2.0:2.9")
         fleet = Fleet(FleetPlan(rate_per_s=60.0, command=command), seed=1)
         try:
             await fleet.start()
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -18,7 +18,7 @@
 class ClockSteps(unittest.IsolatedAsyncioTestCase):
     async def run_step(self, step_s: float, is_silent: bool) -> None:
         """Steps the clock, then drains a worker; with is_silent, discovery's answers are withheld."""
-        command = ("-m", "measure.soak.shimmed", f"step:{STEP_AT_S}:{step_s}")
+        command = ("-m", "measure.soak.syscall_shim", f"step:{STEP_AT_S}:{step_s}")
         fleet = Fleet(FleetPlan(rate_per_s=40.0, command=command), seed=1)
         try:
             await fleet.start()
