--- a/measure/soak/run.py
+++ b/measure/soak/run.py
@@ -27,12 +27,12 @@
 import click
 
 from measure.daemons import ROOT
-from measure.soak.drawn_plan import draw_more_faults, draw_plan
 from measure.soak.fault_proxy import LinkState
 from measure.soak.faults import GRACE_OF_CRASH_S, Fault, FaultKind, draw_faults
 from measure.soak.fleet import USUAL_ODD_SHARE, Fleet, FleetPlan
 from measure.soak.oracle import judge
 from measure.soak.planted_bugs import PLANTED_BUGS
+from measure.soak.random_plan import draw_more_faults, draw_plan
 from measure.soak.records import Outage
 from measure.soak.stand_ins import AnswerFault, CrowdStandIn, WorkerMode
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -6,10 +6,10 @@
 import time
 import unittest
 
-from measure.soak.drawn_plan import draw_more_faults, draw_plan
 from measure.soak.fault_proxy import LinkState
 from measure.soak.fleet import Fleet, FleetPlan
 from measure.soak.oracle import Violation, judge
+from measure.soak.random_plan import draw_more_faults, draw_plan
 from measure.soak.records import Outage
 from measure.soak.run import SoakRun
 from measure.soak.stand_ins import AnswerFault
--- a/tests/test_soak_oracle.py
+++ b/tests/test_soak_oracle.py
@@ -5,9 +5,9 @@
 import unittest
 from itertools import pairwise
 
-from measure.soak.drawn_plan import draw_more_faults, draw_plan
 from measure.soak.faults import FaultKind, draw_faults
 from measure.soak.oracle import RuleSet, SlowStartRule, allowed_at_start, judge
+from measure.soak.random_plan import draw_more_faults, draw_plan
 from measure.soak.records import (
     ClientRequest,
     ConnectionEnd,
