--- a/measure/soak/__init__.py
+++ b/measure/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized fault soak: real schedulers on loopback, faults on every link, an oracle outside them."""
+"""A randomized fault soak: real scheduler processes, faults on every link, and an independent oracle."""
--- a/measure/soak/faults.py
+++ b/measure/soak/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a run, drawn from a seed: what, when, at whom, for how long. They overlap in time."""
+"""Draws the faults of a run from a seed: kind, start time, target and duration. Faults overlap in time."""
 
 from __future__ import annotations
 
@@ -9,17 +9,19 @@
 from measure.soak.fault_proxy import LinkState
 from measure.soak.stand_ins import AnswerFault, WorkerMode
 
-QUIET_START_S, QUIET_END_S = 2.0, 9.0
-ANSWER_SHARES = (0.02, 0.3, 0.7, 0.97)  # of an answer that come before its fault
-GRACE_OF_CRASH_S = (0.5, 4.0)  # until discovery notices that a worker has gone
+FAULT_FREE_START_S, FAULT_FREE_END_S = 2.0, 9.0  # independent faults begin between these parts of a run
+ANSWER_SHARES = (0.02, 0.3, 0.7, 0.97)  # share of an answer's bytes that is written before its fault
+CRASH_NOTICE_DELAY_S = (0.5, 4.0)  # shortest and longest time until discovery delists a crashed worker
 
 
 class FaultKind(enum.StrEnum):
-    """What goes wrong."""
+    """The kinds of faults. Seeds depend on their order."""
 
-    ANSWERS = "answers"  # of discovery to one scheduler
-    ANSWERS_OF_ALL = "answers_of_all"
-    NO_WHOLE_ANSWER = "no_whole_answer"  # to one scheduler, for longer than the rules allow a list to be old
+    ANSWER_FAULTS = "answers"  # in discovery's next answers to one scheduler
+    ANSWER_FAULTS_FOR_ALL = "answers_of_all"  # in its next answers to every scheduler
+    #: Each answer of discovery to one scheduler stalls before its end. The longest of these faults outlast
+    #: the age that a list may have.
+    NO_COMPLETE_ANSWER = "no_whole_answer"
     DISCOVERY_LINK = "discovery_link"
     DISCOVERY_DOWN = "discovery_down"
     DISCOVERY_RESET = "discovery_reset"
@@ -28,98 +30,111 @@
     WORKER_MODE = "worker_mode"
     WORKER_CRASH = "worker_crash"
     WORKER_DRAIN = "worker_drain"
-    HOLD_UP = "hold_up"
-    LONG_HOLD_UP = "long_hold_up"
+    PAUSE = "hold_up"  # by SIGSTOP, at most 0.15 s
+    LONG_PAUSE = "long_hold_up"  # up to 10 s
     TERMINATE = "terminate"
     KILL = "kill"
     RELOAD = "reload"
-    CLIENTS_LEAVE = "clients_leave"
+    CLIENT_DISCONNECTS = "clients_leave"
     BURST = "burst"
-    CROWD = "crowd"  # idle clients fill the descriptors
-    RELOADS = "reloads"  # new configurations in a row
-    SIGNALS = "signals"  # SIGHUP, SIGTERM and both again
-    LIST_CHANGE = "list_change"  # of many entries at once
+    CONNECTION_FLOOD = "crowd"  # idle clients occupy the scheduler's descriptors
+    REPEATED_RELOADS = "reloads"  # several new configurations, one after the other
+    REPEATED_SIGNALS = "signals"  # SIGTERM, SIGHUP, SIGTERM, SIGINT
+    LARGE_LIST_CHANGE = "list_change"  # many entries in one revision
 
 
-#: Drawn by draw_faults, whose seeds stay what they were; the others are drawn with a plan.
-FIRST_KINDS = list(FaultKind)[: list(FaultKind).index(FaultKind.CROWD)]
+#: The kinds that draw_faults draws. Adding one changes the faults of every seed, so further kinds are drawn
+#: by random_plan.draw_extra_faults.
+BASE_KINDS = list(FaultKind)[: list(FaultKind).index(FaultKind.CONNECTION_FLOOD)]
 
 
 class Fault(NamedTuple):
-    """One fault; its target is a scheduler or a worker by number, where it has one."""
+    """One fault.
+
+    target: number of the scheduler or worker that it concerns; unused by kinds that concern all.
+    answer_faults: faults of discovery's next answers, each with a share or a time (see AnswerFault).
+    """
 
     at_s: float
     kind: FaultKind
     target: int
-    span_s: float
-    answers: tuple[tuple[AnswerFault, float], ...] = ()
-    link: LinkState | None = None
-    mode: WorkerMode | None = None
-
-
-def draw_faults(seed: int, span_s: float, schedulers: int, workers: int) -> list[Fault]:
-    """Returns the faults of a run of this length, in the order of time; the same for the same seed."""
-    draw = random.Random(seed)
-    count = draw.randint(6, 8 + int(span_s / 4.0))
-    faults = [_draw_fault(draw, span_s, schedulers, workers) for _ in range(count)]
-    # Most runs have changes of the list right beside trouble with discovery: the class of the incident.
-    if draw.random() < 0.7:
-        begin_s = draw.uniform(QUIET_START_S, span_s - QUIET_END_S - 10.0)
-        faults.append(_answers(draw, begin_s - 0.5, FaultKind.ANSWERS_OF_ALL, 0))
-        drain_s = draw.uniform(8.0, 20.0)
-        drain_count = draw.randint(1, 2)
-        if draw.random() < 0.5:  # a scheduler is away for longer than a change takes to count as notified
-            target, down_s = draw.randrange(schedulers), draw.uniform(8.5, 12.0)
+    duration_s: float
+    answer_faults: tuple[tuple[AnswerFault, float], ...] = ()
+    link_state: LinkState | None = None
+    worker_mode: WorkerMode | None = None
+
+
+def draw_faults(seed: int, run_duration_s: float, scheduler_count: int, worker_count: int) -> list[Fault]:
+    """Returns the faults of a run in the order of their start times. A seed always gives the same faults.
+
+    run_duration_s: length of the run, at least 21 s.
+    """
+    rng = random.Random(seed)
+    count = rng.randint(6, 8 + int(run_duration_s / 4.0))
+    faults = [_draw_fault(rng, run_duration_s, scheduler_count, worker_count) for _ in range(count)]
+    # Most runs drain workers while discovery's answers fail. In an incident, schedulers kept sending to
+    # removed workers under these conditions.
+    if rng.random() < 0.7:
+        begin_s = rng.uniform(FAULT_FREE_START_S, run_duration_s - FAULT_FREE_END_S - 10.0)
+        faults.append(_draw_answer_faults(rng, begin_s - 0.5, FaultKind.ANSWER_FAULTS_FOR_ALL, 0))
+        drain_s = rng.uniform(8.0, 20.0)
+        drain_count = rng.randint(1, 2)
+        if rng.random() < 0.5:  # the scheduler is down for longer than the notification limit
+            target, down_s = rng.randrange(scheduler_count), rng.uniform(8.5, 12.0)
             faults.append(Fault(begin_s - 0.3, FaultKind.KILL, target, down_s))
             drain_s = max(drain_s, down_s + 4.0)
-            drain_count = workers // 2  # or its first requests go to others by chance
-        if draw.random() < 0.4:
-            target = draw.randrange(schedulers)
-            faults.append(Fault(begin_s - 0.2, FaultKind.NO_WHOLE_ANSWER, target, draw.uniform(9.0, 14.0)))
-        for offset, target in enumerate(draw.sample(range(workers), drain_count)):
+            drain_count = worker_count // 2  # with fewer, its first requests may all go to other workers
+        if rng.random() < 0.4:
+            target = rng.randrange(scheduler_count)
+            faults.append(Fault(begin_s - 0.2, FaultKind.NO_COMPLETE_ANSWER, target, rng.uniform(9.0, 14.0)))
+        for offset, target in enumerate(rng.sample(range(worker_count), drain_count)):
             faults.append(Fault(begin_s + 0.4 * offset, FaultKind.WORKER_DRAIN, target, drain_s))
     return sorted(faults, key=lambda fault: fault.at_s)
 
 
-def _answers(draw: random.Random, at_s: float, kind: FaultKind, target: int) -> Fault:
-    answers = tuple(
-        (draw.choice(list(AnswerFault)), draw.choice((0.02, 0.3, 0.7, 0.97)))
-        for _ in range(draw.randint(1, 4))
+def _draw_answer_faults(rng: random.Random, at_s: float, kind: FaultKind, target: int) -> Fault:
+    answer_faults = tuple(
+        (rng.choice(list(AnswerFault)), rng.choice(ANSWER_SHARES)) for _ in range(rng.randint(1, 4))
     )
-    return Fault(at_s, kind, target, draw.uniform(2.0, 8.0), answers=answers)
+    return Fault(at_s, kind, target, rng.uniform(2.0, 8.0), answer_faults=answer_faults)
 
 
-def _draw_fault(draw: random.Random, span_s: float, schedulers: int, workers: int) -> Fault:
-    at_s = draw.uniform(QUIET_START_S, span_s - QUIET_END_S)
-    lasts_s = min(
-        draw.choice((0.5, 2.0, 5.0, 9.0)) * draw.uniform(0.5, 1.5), span_s - QUIET_END_S - at_s + 3.0
+def _draw_fault(rng: random.Random, run_duration_s: float, scheduler_count: int, worker_count: int) -> Fault:
+    at_s = rng.uniform(FAULT_FREE_START_S, run_duration_s - FAULT_FREE_END_S)
+    duration_s = min(
+        rng.choice((0.5, 2.0, 5.0, 9.0)) * rng.uniform(0.5, 1.5),
+        run_duration_s - FAULT_FREE_END_S - at_s + 3.0,
     )
-    kind = draw.choice(FIRST_KINDS)
-    scheduler, worker = draw.randrange(schedulers), draw.randrange(workers)
+    kind = rng.choice(BASE_KINDS)
+    scheduler, worker = rng.randrange(scheduler_count), rng.randrange(worker_count)
     match kind:
-        case FaultKind.ANSWERS | FaultKind.ANSWERS_OF_ALL:
-            return _answers(draw, at_s, kind, scheduler)
+        case FaultKind.ANSWER_FAULTS | FaultKind.ANSWER_FAULTS_FOR_ALL:
+            return _draw_answer_faults(rng, at_s, kind, scheduler)
         case FaultKind.DISCOVERY_LINK:
-            return Fault(at_s, kind, scheduler, lasts_s, link=_draw_link(draw, slow=True))
+            return Fault(
+                at_s, kind, scheduler, duration_s, link_state=_draw_link(rng, allows_long_delay=True)
+            )
         case FaultKind.WORKER_LINK:
-            return Fault(at_s, kind, worker, lasts_s, link=_draw_link(draw, slow=False))
+            return Fault(at_s, kind, worker, duration_s, link_state=_draw_link(rng, allows_long_delay=False))
         case FaultKind.WORKER_MODE:
-            mode = draw.choice([WorkerMode.HANGS, WorkerMode.MUTE, WorkerMode.FAILS, WorkerMode.FULL])
-            return Fault(at_s, kind, worker, lasts_s, mode=mode)
+            worker_mode = rng.choice(
+                [WorkerMode.NEVER_FINISHES, WorkerMode.NEVER_ANSWERS, WorkerMode.FAILS, WorkerMode.FULL]
+            )
+            return Fault(at_s, kind, worker, duration_s, worker_mode=worker_mode)
         case FaultKind.WORKER_CRASH | FaultKind.WORKER_DRAIN | FaultKind.WORKER_RESET:
-            return Fault(at_s, kind, worker, lasts_s)
-        case FaultKind.HOLD_UP:
-            return Fault(at_s, kind, scheduler, draw.uniform(0.02, 0.15))
-        case FaultKind.LONG_HOLD_UP:
-            return Fault(at_s, kind, scheduler, draw.uniform(0.5, 10.0))
+            return Fault(at_s, kind, worker, duration_s)
+        case FaultKind.PAUSE:
+            return Fault(at_s, kind, scheduler, rng.uniform(0.02, 0.15))
+        case FaultKind.LONG_PAUSE:
+            return Fault(at_s, kind, scheduler, rng.uniform(0.5, 10.0))
         case _:
-            return Fault(at_s, kind, scheduler, lasts_s)
+            return Fault(at_s, kind, scheduler, duration_s)
 
 
-def _draw_link(draw: random.Random, slow: bool) -> LinkState:
-    match draw.randrange(6):
+def _draw_link(rng: random.Random, allows_long_delay: bool) -> LinkState:
+    match rng.randrange(6):
         case 0:
-            return LinkState(delay_s=draw.uniform(0.01, 1.0 if slow else 0.1))
+            return LinkState(delay_s=rng.uniform(0.01, 1.0 if allows_long_delay else 0.1))
         case 1:
             return LinkState(holds_requests=True)
         case 2:
@@ -127,6 +142,6 @@
         case 3:
             return LinkState(holds_requests=True, holds_answers=True)
         case 4:
-            return LinkState(refuses=True)
+            return LinkState(refuses_connections=True)
         case _:
-            return LinkState(piece_bytes=draw.choice((1, 7, 100)), connect_delay_s=draw.uniform(0.0, 0.3))
+            return LinkState(piece_bytes=rng.choice((1, 7, 100)), connect_delay_s=rng.uniform(0.0, 0.3))
--- a/measure/soak/planted_bugs.py
+++ b/measure/soak/planted_bugs.py
@@ -1,6 +1,8 @@
-"""A scheduler with a planted bug, to show that the soak's oracle can fail; nothing else starts one.
+"""Runs a scheduler with a planted bug, to verify that the soak's oracle detects it.
 
-python -m measure.soak.planted_bugs BUG
+    python -m measure.soak.planted_bugs BUG
+
+Each bug replaces functions of the scheduler by name before the scheduler starts. Only the soak uses it.
 """
 
 from __future__ import annotations
@@ -9,63 +11,69 @@
 from collections.abc import Callable
 from types import SimpleNamespace
 
-PATIENT_S = 11.5  # of the version that broke: hold and margin over a whole answer
+WHOLE_ANSWER_TIMEOUT_S = 11.5  # hold time and margin, as in the version of the incident
+
 
+def long_answer_timeout() -> None:
+    """Gives a whole answer of discovery one long timeout, and sends without checking the age of the list.
 
-def patient() -> None:
-    """The incident: one long timer over a whole answer, and no check of the list's age at a send."""
+    This reproduces a bug of an incident, in which removed workers got jobs.
+    """
     from spanwing.discovery import call, client, freshness
 
     freshness.EndpointFreshness.is_stale = lambda self, now_s: False
-    call.AnswerStream._next_byte_deadline_s = lambda self: self.began_s + PATIENT_S
+    call.AnswerStream._next_byte_deadline_s = lambda self: self.began_s + WHOLE_ANSWER_TIMEOUT_S
     client.IMMEDIATE_POLL_HOLD_S = 10.0
 
 
-def persisted_at_once() -> None:
-    """The incident: a new process sends by its persisted list before discovery has answered."""
+def persisted_list_used_at_once() -> None:
+    """Makes a new process send by its persisted list before discovery has answered.
+
+    This reproduces a bug of the same incident.
+    """
     from spanwing.discovery.client import DiscoveryClient
 
-    plain = DiscoveryClient.watch
+    original = DiscoveryClient.watch
 
-    def watch(self, within_s=0.0):
+    def watch(self, max_delay_s=0.0):
         if not self.announced.is_set():
             self._announce_all("persisted")
-        plain(self, 1.0)
+        original(self, 1.0)
 
     DiscoveryClient.watch = watch
 
 
-def no_stale() -> None:
-    """The age of the list is not checked at a send."""
+def stale_list_accepted() -> None:
+    """Sends without checking the age of the list."""
     from spanwing.discovery.client import DiscoveryClient
 
     DiscoveryClient.is_stale = lambda self: False
 
 
-def drain_unread() -> None:
-    """Draining workers are taken for active ones."""
+def draining_ignored() -> None:
+    """Treats draining workers as active."""
     from spanwing.discovery import client
 
     client.STATE_OF_PHASE["leaving"] = "healthy"
     client.DiscoveryClient._set_draining = lambda self, worker, is_draining: None
 
 
-def unsafe_repeat() -> None:
-    """Classes that must not run twice are treated as safe ones."""
+def unsafe_repeated() -> None:
+    """Treats classes of non-idempotent jobs as idempotent."""
     from spanwing import settings
 
-    made_plainly = settings._service_class
+    original = settings._service_class
 
     def as_safe(class_settings, *args):
         if class_settings.idempotency == "unsafe":
             class_settings.idempotency = "safe"
-        return made_plainly(class_settings, *args)
+        return original(class_settings, *args)
 
     settings._service_class = as_safe
 
 
-def second_copy() -> None:
-    """An attempt that is called off ends here at once; its worker hears nothing of it."""
+def cancel_not_sent() -> None:
+    """Ends a cancelled attempt at once, without cancelling it at its worker."""
     from spanwing.workers.http_worker import HttpWorker
 
     def cancel(self, message):
@@ -79,54 +87,54 @@
     }
 
 
-def client_forgotten() -> None:
-    """Nobody hears that a client has left."""
+def disconnect_ignored() -> None:
+    """Ignores that a client has disconnected."""
     from spanwing.core import request_manager
 
     handlers = request_manager.MESSAGE_HANDLERS
     handlers[request_manager.ClientDisconnected] = lambda self, message: None
 
 
-def answer_dropped() -> None:
-    """One answer of fifty is not given."""
+def answers_dropped() -> None:
+    """Does not send every fiftieth answer."""
     from spanwing.core.request_manager import RequestManager
 
-    plain, count = RequestManager._answer_request, SimpleNamespace(answers=0)
+    original, count = RequestManager._answer_request, SimpleNamespace(answers=0)
 
     def answer(self, request, final):
         count.answers += 1
         if count.answers % 50:
-            plain(self, request, final)
+            original(self, request, final)
         else:
             self.pending_requests.pop(request, None)
 
     RequestManager._answer_request = answer
 
 
-def long_budget() -> None:
-    """Workers are given twice the time that is left."""
+def budget_doubled() -> None:
+    """Passes workers twice the remaining time."""
     from spanwing.workers import http_worker
 
-    plain = http_worker.encode_request
+    original = http_worker.encode_request
 
     def encode(method, target, headers, body=b""):
         if "X-Budget-Ms" in headers:
             headers["X-Budget-Ms"] = str(2 * int(headers["X-Budget-Ms"]))
-        return plain(method, target, headers, body)
+        return original(method, target, headers, body)
 
     http_worker.encode_request = encode
 
 
 PLANTED_BUGS: dict[str, Callable[[], None]] = {
-    "patient": patient,
-    "persisted-at-once": persisted_at_once,
-    "no-stale": no_stale,
-    "drain-unread": drain_unread,
-    "unsafe-repeat": unsafe_repeat,
-    "second-copy": second_copy,
-    "client-forgotten": client_forgotten,
-    "answer-dropped": answer_dropped,
-    "long-budget": long_budget,
+    "patient": long_answer_timeout,
+    "persisted-at-once": persisted_list_used_at_once,
+    "no-stale": stale_list_accepted,
+    "drain-unread": draining_ignored,
+    "unsafe-repeat": unsafe_repeated,
+    "second-copy": cancel_not_sent,
+    "client-forgotten": disconnect_ignored,
+    "answer-dropped": answers_dropped,
+    "long-budget": budget_doubled,
 }
 
 
--- a/measure/soak/random_plan.py
+++ b/measure/soak/random_plan.py
@@ -1,43 +1,54 @@
-"""Draws a fleet from a seed: its size, limits and settings, and faults that go with them."""
+"""Draws a fleet's size, limits and settings from a seed, and additional faults for that fleet."""
 
 from __future__ import annotations
 
 import random
 
-from measure.soak.faults import QUIET_END_S, QUIET_START_S, Fault, FaultKind
+from measure.soak.faults import FAULT_FREE_END_S, FAULT_FREE_START_S, Fault, FaultKind
 from measure.soak.fleet import FleetPlan
 
-MANY_WORKERS = (500, 1500, 3200)  # listed; STANDING.md has 3,200 at most
-LIMITS = ((1024, 192), (1024, 192), (256, 96), (96, 32))  # descriptors, memory in MB
-WORKER_RATE_PER_S = 8.0  # of requests; a worker does some 30
-MORE_KINDS = (FaultKind.CROWD, FaultKind.RELOADS, FaultKind.SIGNALS, FaultKind.LIST_CHANGE)
+MANY_PLACEHOLDERS = (500, 1500, 3200)  # the platform allows at most 3,200 workers in a list
+PROCESS_LIMITS = ((1024, 192), (1024, 192), (256, 96), (96, 32))  # (descriptors, memory in MB)
+MAX_WORKER_RATE_PER_S = 8.0  # requests; a worker can complete about 30
+EXTRA_KINDS = (
+    FaultKind.CONNECTION_FLOOD,
+    FaultKind.REPEATED_RELOADS,
+    FaultKind.REPEATED_SIGNALS,
+    FaultKind.LARGE_LIST_CHANGE,
+)
 
 
 def draw_plan(seed: int, rate_per_s: float) -> FleetPlan:
-    """Returns the fleet of this seed; some have few workers, some list thousands."""
-    draw = random.Random(f"{seed} plan")
-    sockets, memory_mb = draw.choice(LIMITS)
-    schedulers, workers = draw.choice((1, 2, 4, 6)), draw.choice((2, 3, 5, 8))
+    """Returns the fleet plan of this seed. Some plans add hundreds or thousands of placeholder workers.
+
+    rate_per_s: upper limit of the request rate at each scheduler.
+    """
+    rng = random.Random(f"{seed} plan")
+    max_descriptors, memory_limit_mb = rng.choice(PROCESS_LIMITS)
+    scheduler_count, worker_count = rng.choice((1, 2, 4, 6)), rng.choice((2, 3, 5, 8))
     return FleetPlan(
-        schedulers=schedulers,
-        workers=workers,
-        drain_grace_s=draw.choice((0.3, 1.0, 2.0, 2.0, 2.0)),
-        pushed=draw.random() < 0.2,
-        rate_per_s=min(rate_per_s, WORKER_RATE_PER_S * workers / schedulers),
-        placeholder_workers=draw.choice((0, 0, *MANY_WORKERS)),
-        deadline_scale=draw.choice((0.25, 0.5, 1.0, 1.0)),
-        sockets=sockets,
-        memory_mb=memory_mb,
-        lists_indented=draw.random() < 0.3,
-        list_chunk_bytes=draw.choice((0, 0, 700, 5000)),
+        scheduler_count=scheduler_count,
+        worker_count=worker_count,
+        drain_grace_s=rng.choice((0.3, 1.0, 2.0, 2.0, 2.0)),
+        uses_push=rng.random() < 0.2,
+        rate_per_s=min(rate_per_s, MAX_WORKER_RATE_PER_S * worker_count / scheduler_count),
+        placeholder_workers=rng.choice((0, 0, *MANY_PLACEHOLDERS)),
+        deadline_scale=rng.choice((0.25, 0.5, 1.0, 1.0)),
+        max_descriptors=max_descriptors,
+        memory_limit_mb=memory_limit_mb,
+        lists_indented=rng.random() < 0.3,
+        list_chunk_bytes=rng.choice((0, 0, 700, 5000)),
     )
 
 
-def draw_more_faults(seed: int, span_s: float, plan: FleetPlan) -> list[Fault]:
-    """Returns further faults: crowds, signals in series, changes of thousands of entries."""
-    draw, found = random.Random(f"{seed} more"), []
-    for _ in range(draw.randint(1, 5)):
-        kind = draw.choice(MORE_KINDS)
-        at_s = draw.uniform(QUIET_START_S, span_s - QUIET_END_S)
-        found.append(Fault(at_s, kind, draw.randrange(plan.schedulers), draw.uniform(1.0, 5.0)))
+def draw_extra_faults(seed: int, run_duration_s: float, plan: FleetPlan) -> list[Fault]:
+    """Returns 1 to 5 faults of the kinds in EXTRA_KINDS, in no particular order.
+
+    run_duration_s: length of the run; the faults begin outside its fault-free start and end.
+    """
+    rng, found = random.Random(f"{seed} more"), []
+    for _ in range(rng.randint(1, 5)):
+        kind = rng.choice(EXTRA_KINDS)
+        at_s = rng.uniform(FAULT_FREE_START_S, run_duration_s - FAULT_FREE_END_S)
+        found.append(Fault(at_s, kind, rng.randrange(plan.scheduler_count), rng.uniform(1.0, 5.0)))
     return found
--- a/measure/soak/records.py
+++ b/measure/soak/records.py
@@ -1,4 +1,4 @@
-"""What clients, workers and discovery saw, as typed records on one monotonic clock (seconds)."""
+"""Records of what clients, workers and discovery observed. All times are seconds of one monotonic clock."""
 
 from __future__ import annotations
 
@@ -7,37 +7,37 @@
 
 @dataclass
 class ClientRequest:
-    """A request as its client saw it."""
+    """A request as its client observed it."""
 
     id: str
     scheduler: str
-    cls: str
+    service_class: str
     budget_ms: int
-    sent_s: float  # its last byte was written
-    status: int | None = None  # None: no answer
+    sent_s: float  # when its last byte was written
+    status: int | None = None  # HTTP status; None: not answered
     answered_s: float | None = None
-    left_s: float | None = None  # the client closed its connection
-    ended_unanswered_s: float | None = None  # the scheduler closed the connection
+    disconnected_s: float | None = None  # when the client closed its connection without an answer
+    closed_unanswered_s: float | None = None  # when the scheduler closed it without an answer
     is_on_new_connection: bool = False
 
 
 @dataclass
 class SentMessage:
-    """A request of a scheduler to a worker, as it left the scheduler."""
+    """A POST, DELETE or GET request from a scheduler to a worker, observed as it left the scheduler."""
 
     scheduler: str
     worker: str
     method: str
-    request: str
-    budget_ms: int | None
+    request: str  # id of the client's request; for a GET the last part of its target
+    budget_ms: int | None  # the value of X-Budget-Ms, if given
     first_byte_s: float
     last_byte_s: float | None = None
-    connection: int = 0  # its number on that link
+    connection: int = 0  # number of the connection on that link
 
 
 @dataclass
 class ConnectionEnd:
-    """A scheduler ended a connection to a worker."""
+    """The end of a connection from a scheduler to a worker."""
 
     scheduler: str
     worker: str
@@ -47,7 +47,7 @@
 
 @dataclass
 class WorkerOutcome:
-    """What became of an attempt at its worker: accepted, rejected, done, failed, deleted or ended."""
+    """A state that an attempt reached at its worker: accepted, rejected, done, failed, deleted or lost."""
 
     worker: str
     request: str
@@ -57,28 +57,31 @@
 
 @dataclass
 class EndpointChange:
-    """A change of a worker's phase, as discovery had it."""
+    """A change of a worker's phase in discovery's endpoint list."""
 
     revision: int
     worker: str
     phase: str
     at_s: float
-    is_start: bool = False  # the worker is cold
+    is_start: bool = False  # the worker has just started, and gets its share by slow start
 
 
 @dataclass
 class ListDelivery:
-    """A list that discovery began to write to a scheduler over a link that passed it on."""
+    """An endpoint list that discovery began to write to a scheduler over a link that forwarded it.
+
+    since_revision: the list holds only the changes after this revision; None: it is complete.
+    """
 
     scheduler: str
-    since: int | None
+    since_revision: int | None
     revision: int
     at_s: float
 
 
 @dataclass
 class Outage:
-    """A time in which a scheduler could not reach discovery, or had been killed."""
+    """A period in which rules make exceptions for a scheduler; the list of Records that holds it says why."""
 
     scheduler: str
     begin_s: float
@@ -87,7 +90,7 @@
 
 @dataclass
 class Records:
-    """All that was seen in one run."""
+    """All observations of one run."""
 
     requests: list[ClientRequest] = field(default_factory=list)
     messages: list[SentMessage] = field(default_factory=list)
@@ -95,7 +98,11 @@
     connection_ends: list[ConnectionEnd] = field(default_factory=list)
     changes: list[EndpointChange] = field(default_factory=list)
     deliveries: list[ListDelivery] = field(default_factory=list)
+    #: Discovery could not be reached.
     discovery_outages: list[Outage] = field(default_factory=list)
+    #: The process was killed or paused.
     process_outages: list[Outage] = field(default_factory=list)
-    crowds: list[Outage] = field(default_factory=list)  # idle clients fill a scheduler's descriptors
-    scheduler_starts: list[tuple[str, float]] = field(default_factory=list)  # scheduler, time it was started
+    #: Idle clients occupied the scheduler's descriptors.
+    connection_floods: list[Outage] = field(default_factory=list)
+    #: The name of the scheduler and the time at which its process was started.
+    scheduler_starts: list[tuple[str, float]] = field(default_factory=list)
--- a/measure/soak/stand_ins.py
+++ b/measure/soak/stand_ins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for discovery, the workers and their clients; what they see goes into the records."""
+"""Stand-ins for discovery, workers and clients, which record what they observe."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
     WorkerOutcome,
 )
 
-CALLBACK_TRIES, CALLBACK_RETRY_S = 10, 0.2
-UNLINKED_PORT = 9
-MessageParts = tuple[str, dict[str, str], bytes]
+MAX_CALLBACK_ATTEMPTS, CALLBACK_RETRY_S = 10, 0.2
+PLACEHOLDER_PORT = 9
+MessageParts = tuple[str, dict[str, str], bytes]  # first line, headers by lower-case name, body
 
 
 async def read_message(reader: asyncio.StreamReader) -> MessageParts | None:
-    """Returns first line, headers and body of an HTTP message; None if the connection ended first."""
+    """Reads an HTTP message. Returns None if the connection ends before its end, or if it is malformed."""
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
         headers = {}
@@ -37,27 +37,30 @@
         return None
 
 
-def response(status: int, body: bytes = b"", header: str = "") -> bytes:
-    """Encodes an HTTP response."""
+def encode_response(status: int, body: bytes = b"", header: str = "") -> bytes:
+    """Encodes an HTTP response. header: further header lines, each with its line end."""
     return f"HTTP/1.1 {status} X\r\n{header}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
 class AnswerFault(enum.StrEnum):
-    """What happens to an answer of discovery."""
+    """The faults of an answer of discovery. Seeds depend on their order.
 
-    STALL = "stall"  # it stops before its end, and the connection stays open
-    CUT = "cut"  # it stops before its end, and the connection is closed
-    RESET = "reset"
-    BYTES = "bytes"  # a byte at a time
-    NO_END = "no_end"  # in chunks, without the last one
-    SILENT = "silent"  # no byte comes
-    UNAVAILABLE = "unavailable"  # 503
-    LATE = "late"  # it begins some time later
+    The number that goes with a fault is the share of the answer's bytes that is written before it.
+    """
+
+    STALLED = "stall"  # stops before its end; the connection stays open
+    TRUNCATED = "cut"  # stops before its end; the connection is closed
+    RESET = "reset"  # stops before its end; the connection is reset
+    BYTE_BY_BYTE = "bytes"  # one byte at a time, within 0.4 s times the number
+    NO_LAST_CHUNK = "no_end"  # in chunked encoding, without the last chunk
+    SILENT = "silent"  # no byte is sent; the connection stays open
+    UNAVAILABLE = "unavailable"  # status 503
+    LATE = "late"  # complete, after a delay of the number in seconds
 
 
 @dataclass
 class Member:
-    """A worker as discovery lists it, with its port for each scheduler."""
+    """A worker in the endpoint list, with its port for each scheduler."""
 
     id: str
     phase: str = "active"
@@ -67,12 +70,12 @@
     host: str = HOST
 
     def address_for(self, scheduler: str) -> str:
-        """Returns host and port as this scheduler is told; a member without links has one for all."""
-        return f"{self.host}:{self.ports.get(scheduler, UNLINKED_PORT)}"
+        """Returns the host and port in this scheduler's list; for a placeholder they are always the same."""
+        return f"{self.host}:{self.ports.get(scheduler, PLACEHOLDER_PORT)}"
 
 
 def placeholder_members(count: int, phase: str, revision: int) -> list[Member]:
-    """Returns members that are listed and that nobody listens for, at addresses of their own."""
+    """Returns placeholders: list entries with distinct addresses at which no process listens."""
     return [
         Member(f"s-{number:08x}", phase, revision=revision, host=f"127.77.{number // 250}.{1 + number % 250}")
         for number in range(count)
@@ -80,28 +83,32 @@
 
 
 class DiscoveryStandIn:
-    """Serves the endpoint list, with a listener for each scheduler."""
+    """Serves the endpoint list, on one listener and link for each scheduler."""
 
     def __init__(self, records: Records, schedulers: list[str]) -> None:
         self.records, self.schedulers = records, schedulers
         self.members: dict[str, Member] = {}
         self.revision = 1
-        self.waiting: set[asyncio.Event] = set()
+        self.pending_watches: set[asyncio.Event] = set()
+        #: By scheduler: the faults of its next answers, one for each answer.
         self.faults: dict[str, list[tuple[AnswerFault, float]]] = {name: [] for name in schedulers}
         self.links: dict[str, FaultProxy] = {}
         self.call_count = 0
-        self.is_indented = False
-        self.chunk_bytes = 0  # lists come in chunks of this size; 0: with their length
+        self.lists_indented = False
+        self.chunk_bytes = 0  # lists are sent in HTTP chunks of this size; 0: with Content-Length
 
     async def listen(self) -> None:
-        """Opens a listener, and a link to it, for each scheduler."""
+        """Opens a listener and a link to it for each scheduler."""
         for name in self.schedulers:
             server = await asyncio.start_server(self._server_for(name), HOST, 0)
             self.links[name] = FaultProxy(server.sockets[0].getsockname()[1])
             await self.links[name].listen()
 
     def change(self, names: list[str], phase: str, up_since_ms: float | None = None) -> None:
-        """Changes the phase of workers in one revision."""
+        """Changes the phase of the named workers in one new revision, and answers the pending watches.
+
+        up_since_ms: wall clock time of the workers' start, if they have just started.
+        """
         self.revision += 1
         now_s = time.monotonic()
         for name in names:
@@ -111,16 +118,16 @@
                 member.up_since_ms = up_since_ms
             is_start = up_since_ms is not None
             self.records.changes.append(EndpointChange(self.revision, name, phase, now_s, is_start))
-        for event in list(self.waiting):
+        for event in list(self.pending_watches):
             event.set()
 
     def add_placeholders(self, count: int, phase: str) -> None:
-        """Lists further members, in the revision that the next change makes."""
+        """Adds placeholders to the list; the next change announces them in its revision."""
         for member in placeholder_members(count, phase, self.revision + 1):
             self.members[member.id] = member
 
-    def encoded(self, scheduler: str, since: int | None) -> bytes:
-        """Returns the complete list, or what changed after a revision."""
+    def encode_list(self, scheduler: str, since_revision: int | None) -> bytes:
+        """Encodes the complete list for a scheduler, or its changes after a revision."""
         members = [
             {
                 "id": each.id,
@@ -133,28 +140,28 @@
                 "up_since_ms": each.up_since_ms,
             }
             for each in self.members.values()
-            if (each.phase != "left" if since is None else each.revision > since)
+            if (each.phase != "left" if since_revision is None else each.revision > since_revision)
         ]
-        whole = {"revision": self.revision, "complete": since is None, "members": members}
-        return json.dumps(whole, indent=2 if self.is_indented else None).encode()
+        whole = {"revision": self.revision, "complete": since_revision is None, "members": members}
+        return json.dumps(whole, indent=2 if self.lists_indented else None).encode()
 
-    def framed(self, body: bytes) -> bytes:
-        """Returns a whole answer, with its length or in chunks."""
+    def frame_answer(self, body: bytes) -> bytes:
+        """Encodes a complete response, with Content-Length or in chunked encoding."""
         size = self.chunk_bytes
         if not size:
-            return response(200, body)
+            return encode_response(200, body)
         chunks = (body[start : start + size] for start in range(0, len(body), size))
-        framed = b"".join(b"%x\r\n%s\r\n" % (len(chunk), chunk) for chunk in chunks)
-        return b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n" + framed + b"0\r\n\r\n"
+        encoded_chunks = b"".join(b"%x\r\n%s\r\n" % (len(chunk), chunk) for chunk in chunks)
+        return b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n" + encoded_chunks + b"0\r\n\r\n"
 
-    def toggle_placeholders(self, share: float, draw: random.Random) -> None:
-        """Changes a share of the members that nobody listens for, in one revision."""
-        unlinked = [each for each in self.members.values() if not each.ports]
+    def toggle_placeholders(self, share: float, rng: random.Random) -> None:
+        """Removes a share of the placeholders, or lists them again if removed, in one new revision."""
+        placeholders = [each for each in self.members.values() if not each.ports]
         self.revision += 1
-        for member in draw.sample(unlinked, int(share * len(unlinked))):
+        for member in rng.sample(placeholders, int(share * len(placeholders))):
             member.phase = "left" if member.phase == "leaving" else "leaving"
             member.revision = self.revision
-        for event in list(self.waiting):
+        for event in list(self.pending_watches):
             event.set()
 
     def _server_for(self, scheduler: str):
@@ -169,48 +176,52 @@
         return accept
 
     async def _answer(self, scheduler: str, target: str, writer: asyncio.StreamWriter) -> bool:
+        """Answers a request for the list; returns whether the connection can be used again.
+
+        A watch of the current revision waits for a change or its timeout.
+        """
         query = dict(each.split("=") for each in target.partition("?")[2].split("&") if each)
-        since = int(query["since"]) if "since" in query else None
-        if since is not None and since >= self.revision:
+        since_revision = int(query["since"]) if "since" in query else None
+        if since_revision is not None and since_revision >= self.revision:
             event = asyncio.Event()
-            self.waiting.add(event)
+            self.pending_watches.add(event)
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(event.wait(), float(query.get("timeout_ms", 10000)) / 1000.0)
-            self.waiting.discard(event)
-        body, revision = self.encoded(scheduler, since), self.revision
+            self.pending_watches.discard(event)
+        body, revision = self.encode_list(scheduler, since_revision), self.revision
         fault = self.faults[scheduler].pop(0) if self.faults[scheduler] else None
         if fault is not None and fault[0] is AnswerFault.LATE:
             await asyncio.sleep(fault[1])
             fault = None
         link = self.links[scheduler].state
         is_written = fault is None or fault[0] not in (AnswerFault.SILENT, AnswerFault.UNAVAILABLE)
-        if is_written and not (link.holds_answers or link.refuses):
-            delivery = ListDelivery(scheduler, since, revision, time.monotonic())
+        if is_written and not (link.holds_answers or link.refuses_connections):
+            delivery = ListDelivery(scheduler, since_revision, revision, time.monotonic())
             self.records.deliveries.append(delivery)
         if fault is not None:
-            return await self._spoil(fault, body, writer)
-        writer.write(self.framed(body))
+            return await self._write_faulty_answer(fault, body, writer)
+        writer.write(self.frame_answer(body))
         await writer.drain()
         return True
 
-    async def _spoil(
+    async def _write_faulty_answer(
         self, fault: tuple[AnswerFault, float], body: bytes, writer: asyncio.StreamWriter
     ) -> bool:
-        """Writes an answer with a fault; returns whether the connection goes on."""
+        """Writes an answer with a fault; returns whether the connection can be used again."""
         kind, share = fault
-        whole = self.framed(body)
+        whole = self.frame_answer(body)
         part = whole[: max(1, min(len(whole) - 1, int(len(whole) * share)))]
         match kind:
-            case AnswerFault.STALL:
+            case AnswerFault.STALLED:
                 writer.write(part)
                 await asyncio.sleep(3600)
             case AnswerFault.SILENT:
                 await asyncio.sleep(3600)
-            case AnswerFault.NO_END:
+            case AnswerFault.NO_LAST_CHUNK:
                 head = b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n"
                 writer.write(head + b"%x\r\n" % len(body) + body + b"\r\n")
                 await asyncio.sleep(3600)
-            case AnswerFault.CUT:
+            case AnswerFault.TRUNCATED:
                 writer.write(part)
                 await writer.drain()
             case AnswerFault.RESET:
@@ -218,9 +229,9 @@
                 await writer.drain()
                 writer.transport.abort()
             case AnswerFault.UNAVAILABLE:
-                writer.write(response(503))
+                writer.write(encode_response(503))
                 return True
-            case AnswerFault.BYTES:
+            case AnswerFault.BYTE_BY_BYTE:
                 for offset in range(len(whole)):
                     writer.write(whole[offset : offset + 1])
                     await asyncio.sleep(0.4 * share / len(whole))
@@ -229,20 +240,23 @@
 
 
 class WorkerMode(enum.StrEnum):
-    """How a worker behaves."""
+    """The ways in which a worker handles jobs."""
 
     UP = "up"
-    HANGS = "hangs"  # accepts, and nothing comes of it
-    MUTE = "mute"  # reads, and does not answer
-    FAILS = "fails"
-    FULL = "full"
+    NEVER_FINISHES = "hangs"  # accepts jobs and never completes them
+    NEVER_ANSWERS = "mute"  # reads jobs and never responds
+    FAILS = "fails"  # responds to jobs with status 500
+    FULL = "full"  # rejects jobs
 
 
 class WorkerStandIn:
-    """A worker with slots; one listener, reached by a link for each scheduler."""
+    """A worker with one listener, which schedulers reach through a link for each of them.
 
-    def __init__(self, name: str, records: Records, run_s: dict[str, float], draw: random.Random) -> None:
-        self.name, self.records, self.run_s, self.draw = name, records, run_s, draw
+    run_s: by class, the mean run time of its jobs in seconds.
+    """
+
+    def __init__(self, name: str, records: Records, run_s: dict[str, float], rng: random.Random) -> None:
+        self.name, self.records, self.run_s, self.rng = name, records, run_s, rng
         self.mode, self.port, self.is_draining = WorkerMode.UP, 0, False
         self.jobs: dict[str, asyncio.Task[None]] = {}
         self.callback_ports: dict[str, int] = {}
@@ -250,21 +264,21 @@
         self.server: asyncio.Server | None = None
 
     async def listen(self) -> None:
-        """Starts to listen, on the former port if there was one."""
+        """Starts to listen, on the same port as before if it has listened already."""
         self.server = await asyncio.start_server(self._accept, HOST, self.port, backlog=256)
         self.port = self.server.sockets[0].getsockname()[1]
 
     def crash(self) -> None:
-        """Ends as a killed process does: connections are reset, jobs are lost, connects are refused."""
+        """Behaves like a killed process: resets connections, loses jobs and refuses new connections."""
         self.server.close()
         for writer in list(self.writers):
             writer.transport.abort()
         for request, task in list(self.jobs.items()):
             task.cancel()
-            self._note(request, "lost")
+            self._record_outcome(request, "lost")
         self.jobs.clear()
 
-    def _note(self, request: str, state: str) -> None:
+    def _record_outcome(self, request: str, state: str) -> None:
         self.records.outcomes.append(WorkerOutcome(self.name, request, state, time.monotonic()))
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -283,65 +297,65 @@
             self.writers.discard(writer)
             writer.close()
 
-    def _handle(self, first: str, headers: dict[str, str], _: bytes) -> bytes | None:
-        method, target, _ = first.split(" ", 2)
-        if method == "GET":  # a worker that drains says so itself
-            return response(503 if self.is_draining else 200, b"{}")
+    def _handle(self, request_line: str, headers: dict[str, str], _: bytes) -> bytes | None:
+        method, target, _ = request_line.split(" ", 2)
+        if method == "GET":  # a draining worker also reports it in its health checks
+            return encode_response(503 if self.is_draining else 200, b"{}")
         if method == "DELETE":
             request = target.rsplit("/", 1)[1]
             task = self.jobs.pop(request, None)
             if task is not None:
                 task.cancel()
-            self._note(request, "deleted")
-            return response(200)
-        request, cls = headers["x-call-id"], target.strip("/")
+            self._record_outcome(request, "deleted")
+            return encode_response(200)
+        request, service_class = headers["x-call-id"], target.strip("/")
         if self.mode is WorkerMode.FULL:
-            self._note(request, "rejected")
-            return response(503, header="X-Rejected: 1\r\n")
-        self._note(request, "accepted")
+            self._record_outcome(request, "rejected")
+            return encode_response(503, header="X-Rejected: 1\r\n")
+        self._record_outcome(request, "accepted")
         if self.mode is WorkerMode.FAILS:
-            self._note(request, "failed")
-            return response(500)
-        if self.mode is WorkerMode.MUTE:
+            self._record_outcome(request, "failed")
+            return encode_response(500)
+        if self.mode is WorkerMode.NEVER_ANSWERS:
             return None
-        if self.mode is not WorkerMode.HANGS:
-            self.jobs[request] = asyncio.ensure_future(self._run(request, cls))
-        return response(202)
+        if self.mode is not WorkerMode.NEVER_FINISHES:
+            self.jobs[request] = asyncio.ensure_future(self._run(request, service_class))
+        return encode_response(202)
 
-    async def _run(self, request: str, cls: str) -> None:
-        await asyncio.sleep(self.run_s[cls] * self.draw.uniform(0.5, 1.5))
-        self._note(request, "done")
+    async def _run(self, request: str, service_class: str) -> None:
+        await asyncio.sleep(self.run_s[service_class] * self.rng.uniform(0.5, 1.5))
+        self._record_outcome(request, "done")
         self.jobs.pop(request, None)
         body = json.dumps({"id": request, "from": self.name, "state": "done", "result": "ok"}).encode()
         scheduler = request.split("x")[0]
-        for _ in range(CALLBACK_TRIES):
+        for _ in range(MAX_CALLBACK_ATTEMPTS):
             if await post_callback(self.callback_ports[scheduler], body):
                 return
             await asyncio.sleep(CALLBACK_RETRY_S)
 
 
-class CrowdStandIn:
-    """Clients that open connections and send nothing."""
+class IdleConnectionFlood:
+    """Idle clients, which open connections and send nothing."""
 
     def __init__(self) -> None:
         self.writers: list[asyncio.StreamWriter] = []
 
     async def open(self, port: int, count: int) -> None:
-        """Opens connections; those that are refused or closed do not matter."""
+        """Opens connections; ignores those that are refused."""
         for _ in range(count):
             with contextlib.suppress(OSError):
                 _, writer = await asyncio.open_connection(HOST, port)
                 self.writers.append(writer)
 
-    def leave(self) -> None:
-        """Closes them all."""
+    def close_all(self) -> None:
+        """Resets all connections."""
         for writer in self.writers:
             writer.transport.abort()
         self.writers.clear()
 
 
 async def post_callback(port: int, body: bytes) -> bool:
-    """Posts a worker's callback; returns whether it was answered with 200 or 204."""
+    """Posts a worker's callback; returns whether it was answered with 200 or 204 within 1 s."""
     try:
         reader, writer = await asyncio.open_connection(HOST, port)
         head = f"POST /v1/job-events HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n"
@@ -354,82 +368,86 @@
 
 
 class ClientStandIn:
-    """Open arrivals at one scheduler; some clients leave early, some write slowly, some keep connections."""
+    """The clients of one scheduler. Requests arrive at random at a mean rate, regardless of answers.
+
+    Some clients disconnect early. Connections are kept and reused.
+    """
 
     def __init__(
-        self, scheduler: str, records: Records, classes: dict[str, dict[str, float]], draw: random.Random
+        self, scheduler: str, records: Records, classes: dict[str, dict[str, float]], rng: random.Random
     ) -> None:
-        self.scheduler, self.records, self.classes, self.draw = scheduler, records, classes, draw
-        self.port, self.rate_per_s, self.is_sending, self.count = 0, 10.0, True, 0
-        self.odd_share = 0.0  # of clients that leave early
-        self.idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
+        self.scheduler, self.records, self.classes, self.rng = scheduler, records, classes, rng
+        self.port, self.rate_per_s, self.is_sending, self.request_count = 0, 10.0, True, 0
+        self.disconnect_share = 0.0  # share of requests whose client disconnects early
+        self.idle_connections: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Sends until is_sending is False."""
+        """Sends requests until is_sending is False."""
         while self.is_sending:
-            await asyncio.sleep(self.draw.expovariate(self.rate_per_s))
+            await asyncio.sleep(self.rng.expovariate(self.rate_per_s))
             if not self.is_sending:
                 return
-            task = asyncio.ensure_future(self._send_one())
+            task = asyncio.ensure_future(self._send_request())
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def _send_one(self) -> None:
+    async def _send_request(self) -> None:
         names = list(self.classes)
-        cls = self.draw.choices(names, [self.classes[name]["share"] for name in names])[0]
-        budget_ms = int(self.classes[cls]["deadline_ms"] * self.draw.choice((0.3, 1.0, 1.0)))
-        self.count += 1
-        request_id = f"{self.scheduler}x{self.count:08x}"
-        leaves = self.draw.random() < self.odd_share
-        head = (
-            f"POST /{cls} HTTP/1.1\r\nHost: x\r\nX-Call-Id: {request_id}\r\nX-Budget-Ms: {budget_ms}\r\n"
+        service_class = self.rng.choices(names, [self.classes[name]["share"] for name in names])[0]
+        budget_ms = int(self.classes[service_class]["deadline_ms"] * self.rng.choice((0.3, 1.0, 1.0)))
+        self.request_count += 1
+        request_id = f"{self.scheduler}x{self.request_count:08x}"
+        disconnects_early = self.rng.random() < self.disconnect_share
+        encoded_request = (
+            f"POST /{service_class} HTTP/1.1\r\nHost: x\r\n"
+            f"X-Call-Id: {request_id}\r\nX-Budget-Ms: {budget_ms}\r\n"
             f"Idempotency-Key: {request_id}\r\nContent-Length: 4\r\n\r\nwork"
         )
-        record = ClientRequest(request_id, self.scheduler, cls, budget_ms, time.monotonic())
+        record = ClientRequest(request_id, self.scheduler, service_class, budget_ms, time.monotonic())
         self.records.requests.append(record)
-        if self.idle:
-            reader, writer = self.idle.pop()
+        if self.idle_connections:
+            reader, writer = self.idle_connections.pop()
             with contextlib.suppress(OSError):
-                writer.write(head.encode())
-            await self._await_answer(record, reader, writer, leaves)
-            if record.ended_unanswered_s is None:
+                writer.write(encoded_request.encode())
+            await self._await_answer(record, reader, writer, disconnects_early)
+            if record.closed_unanswered_s is None:
                 return
-            # The scheduler's close crossed the request: it is sent once more, on a new connection.
-            record.ended_unanswered_s = None
+            # The scheduler closed the idle connection while the request was on its way. Retries on a new one.
+            record.closed_unanswered_s = None
         try:
             reader, writer = await asyncio.open_connection(HOST, self.port)
             record.is_on_new_connection = True
-            record.sent_s = time.monotonic()  # a request's time starts at its last byte
-            writer.write(head.encode())
+            record.sent_s = time.monotonic()  # a request's budget starts at its last byte
+            writer.write(encoded_request.encode())
         except OSError:
-            self.records.requests.remove(record)  # never taken
+            self.records.requests.remove(record)  # the scheduler never received it
             return
-        await self._await_answer(record, reader, writer, leaves)
+        await self._await_answer(record, reader, writer, disconnects_early)
 
     async def _await_answer(
         self,
         record: ClientRequest,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        leaves: bool,
+        disconnects_early: bool,
     ) -> None:
-        patience_s = record.budget_ms / 1000.0 + 3.0
-        if leaves:
-            patience_s = self.draw.uniform(0.0, 0.5)
+        timeout_s = record.budget_ms / 1000.0 + 3.0
+        if disconnects_early:
+            timeout_s = self.rng.uniform(0.0, 0.5)
         try:
-            message = await asyncio.wait_for(read_message(reader), patience_s)
+            message = await asyncio.wait_for(read_message(reader), timeout_s)
         except TimeoutError:
-            record.left_s = time.monotonic()
+            record.disconnected_s = time.monotonic()
             writer.transport.abort()
             return
         now_s = time.monotonic()
         if message is None:
-            record.ended_unanswered_s = now_s
+            record.closed_unanswered_s = now_s
             writer.close()
             return
         record.status, record.answered_s = int(message[0].split(" ")[1]), now_s
-        if message[1].get("connection", "") == "close" or len(self.idle) > 4:
+        if message[1].get("connection", "") == "close" or len(self.idle_connections) > 4:
             writer.close()
         else:
-            self.idle.append((reader, writer))
+            self.idle_connections.append((reader, writer))
--- a/measure/soak/syscall_shim.py
+++ b/measure/soak/syscall_shim.py
@@ -1,11 +1,12 @@
-"""A scheduler whose system calls fail and whose wall clock is stepped, by a script drawn from a seed.
+"""Runs a scheduler with a shim that fails its socket calls and steps its wall clock.
 
-    python -m measure.soak.syscall_shim SEED
-    python -m measure.soak.syscall_shim step:AT_S:BY_S      steps the wall clock once, and fails no call
-    python -m measure.soak.syscall_shim fail:CALL:ERROR:FROM_S:TO_S      fails these calls alone
+    python -m measure.soak.syscall_shim SEED                             draws failures and clock steps
+    python -m measure.soak.syscall_shim step:AT_S:BY_S                   steps the wall clock once
+    python -m measure.soak.syscall_shim fail:CALL:ERROR:FROM_S:TO_S      fails one kind of call in one period
 
-Errors are those that Linux documents. They come in spans of some hundred milliseconds. Only connections that
-the scheduler opened itself break: on its clients' an error would be a lost request of the shim's making.
+The errors are those that Linux documents for the call. A drawn period of failures lasts 0.05 to 1 s. Reads
+and writes fail only on connections that the scheduler opened: on a client's connection, the injected error
+itself would lose the request.
 """
 
 from __future__ import annotations
@@ -19,117 +20,123 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-SCRIPT_S = 300.0
-GAP_S, SPAN_S = (0.5, 6.0), (0.05, 1.0)
-FIRST_FAULT_S = 1.0  # from the start of the process
-STEPS_S = (-3600.0, -5.0, -0.5, 0.5, 5.0, 3600.0)
-ERRORS = {
+SCRIPT_DURATION_S = 300.0  # from the start of the process; no failure begins much later
+SPAN_GAP_S, SPAN_DURATION_S = (0.5, 6.0), (0.05, 1.0)  # shortest and longest
+SCRIPT_START_S = 1.0  # from the start of the process
+CLOCK_STEPS_S = (-3600.0, -5.0, -0.5, 0.5, 5.0, 3600.0)
+ERRORS_BY_CALL = {
     "socket": (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM),
     "connect": (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ECONNREFUSED, errno.ETIMEDOUT),
     "accept": (errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM),
     "recv": (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET),
     "send": (errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH),
-    "short": (0,),  # one byte at a time, read and written, on every connection
+    "short": (0,),  # not an error: every connection reads and writes one byte at a time
 }
 
 
 class FailureSpan(NamedTuple):
-    """From begin_s to end_s a share of these calls fails."""
+    """A period, in seconds from the start of the process, in which this share of the calls fails."""
 
     begin_s: float
     end_s: float
     call: str
-    error: int
+    error: int  # errno; 0 for short reads and writes
     share: float
 
 
 def draw_script(seed: str) -> tuple[list[FailureSpan], list[tuple[float, float]]]:
-    """Returns the spans, and when (s from the start) the wall clock is stepped by how much."""
+    """Returns the periods of failures and the steps of the wall clock.
+
+    Each step is a pair: seconds from the start of the process, and seconds by which the clock moves. The seed
+    may also be one of the two explicit forms that the module describes.
+    """
     if seed.startswith("step:"):
         _, at_s, by_s = seed.split(":")
         return [], [(float(at_s), float(by_s))]
     if seed.startswith("fail:"):
         _, call, error, from_s, to_s = seed.split(":")
         return [FailureSpan(float(from_s), float(to_s), call, getattr(errno, error), 1.0)], []
-    draw, spans, steps, at_s = random.Random(seed), [], [], FIRST_FAULT_S
-    while at_s < SCRIPT_S:
-        at_s += draw.uniform(*GAP_S)
-        call = draw.choice(list(ERRORS))
-        end_s = at_s + draw.uniform(*SPAN_S)
-        spans.append(FailureSpan(at_s, end_s, call, draw.choice(ERRORS[call]), draw.choice((0.2, 0.6, 1.0))))
-        if draw.random() < 0.1:
-            steps.append((at_s, draw.choice(STEPS_S)))
+    rng, spans, steps, at_s = random.Random(seed), [], [], SCRIPT_START_S
+    while at_s < SCRIPT_DURATION_S:
+        at_s += rng.uniform(*SPAN_GAP_S)
+        call = rng.choice(list(ERRORS_BY_CALL))
+        end_s = at_s + rng.uniform(*SPAN_DURATION_S)
+        spans.append(
+            FailureSpan(at_s, end_s, call, rng.choice(ERRORS_BY_CALL[call]), rng.choice((0.2, 0.6, 1.0)))
+        )
+        if rng.random() < 0.1:
+            steps.append((at_s, rng.choice(CLOCK_STEPS_S)))
     return spans, steps
 
 
 class Shim:
-    """Installed by install(), before the program's modules are loaded."""
+    """Replaces socket methods and time.time; install() has to run before the scheduler's modules load."""
 
     def __init__(self, seed: str) -> None:
         self.spans, self.steps = draw_script(seed)
-        self.draw, self.started_s = random.Random(f"{seed} calls"), time.monotonic()
-        self.opened: weakref.WeakSet[socket.socket] = weakref.WeakSet()
+        self.rng, self.started_s = random.Random(f"{seed} calls"), time.monotonic()
+        self.outgoing_sockets: weakref.WeakSet[socket.socket] = weakref.WeakSet()
 
-    def error_of(self, call: str) -> int | None:
-        """Returns the error of this call now; 0 stands for a short one, None for none."""
+    def current_error(self, call: str) -> int | None:
+        """Draws whether this call fails now; returns its errno, 0 for a short read or write, or None."""
         elapsed_s = time.monotonic() - self.started_s
         for span in self.spans:
             if span.call == call and span.begin_s <= elapsed_s < span.end_s:
-                return span.error if self.draw.random() < span.share else None
+                return span.error if self.rng.random() < span.share else None
         return None
 
     def check(self, call: str) -> None:
-        """Raises the error of this call now, if there is one."""
-        error = self.error_of(call)
+        """Raises OSError if this call fails now."""
+        error = self.current_error(call)
         if error:
-            raise OSError(error, f"{errno.errorcode[error]} by the shim")
+            raise OSError(error, f"{errno.errorcode[error]} injected by the shim")
 
     def install(self) -> None:
-        """Replaces the calls."""
-        kind = socket.socket
-        plain: dict[str, Callable[..., Any]] = {
-            name: getattr(kind, name)
+        """Replaces the socket methods and time.time of this process."""
+        socket_class = socket.socket
+        original: dict[str, Callable[..., Any]] = {
+            name: getattr(socket_class, name)
             for name in ("__init__", "connect", "accept", "recv_into", "recv", "send")
         }
 
-        def make(sock: socket.socket, *args: Any, **more: Any) -> None:
-            if more.get("fileno") is None and len(args) < 4:
+        def init(sock: socket.socket, *args: Any, **kwargs: Any) -> None:
+            if kwargs.get("fileno") is None and len(args) < 4:
                 self.check("socket")
-            plain["__init__"](sock, *args, **more)
+            original["__init__"](sock, *args, **kwargs)
 
         def connect(sock: socket.socket, address: Any) -> None:
             self.check("connect")
-            self.opened.add(sock)
-            plain["connect"](sock, address)
+            self.outgoing_sockets.add(sock)
+            original["connect"](sock, address)
 
         def accept(sock: socket.socket) -> Any:
             self.check("accept")
-            return plain["accept"](sock)
+            return original["accept"](sock)
 
         def recv_into(sock: socket.socket, buffer: Any, *args: Any) -> int:
-            if sock in self.opened:
+            if sock in self.outgoing_sockets:
                 self.check("recv")
-            if self.error_of("short") is not None and not args:
+            if self.current_error("short") is not None and not args:
                 buffer = memoryview(buffer)[:1]
-            return plain["recv_into"](sock, buffer, *args)
+            return original["recv_into"](sock, buffer, *args)
 
         def send(sock: socket.socket, data: Any, *args: Any) -> int:
-            if sock in self.opened:
+            if sock in self.outgoing_sockets:
                 self.check("send")
-            if self.error_of("short") is not None:
+            if self.current_error("short") is not None:
                 data = memoryview(data)[:1]
-            return plain["send"](sock, data, *args)
+            return original["send"](sock, data, *args)
 
         for method in (connect, accept, recv_into, send):
-            setattr(kind, method.__name__, method)
-        kind.__init__ = make  # type: ignore[method-assign]
-        wall = time.time
+            setattr(socket_class, method.__name__, method)
+        socket_class.__init__ = init  # type: ignore[method-assign]
+        wall_time = time.time
 
-        def stepped() -> float:
+        def stepped_time() -> float:
             elapsed_s = time.monotonic() - self.started_s
-            return wall() + sum(step_s for at_s, step_s in self.steps if at_s <= elapsed_s)
+            return wall_time() + sum(step_s for at_s, step_s in self.steps if at_s <= elapsed_s)
 
-        time.time = stepped
+        time.time = stepped_time
 
 
 if __name__ == "__main__":
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Rules under faults, with real processes: what the soak's oracle sees of single, forced faults."""
+"""Real schedulers under single chosen faults and in short randomized soaks, judged by the oracle."""
 
 from __future__ import annotations
 
@@ -9,19 +9,22 @@
 from measure.soak.fault_proxy import LinkState
 from measure.soak.fleet import Fleet, FleetPlan
 from measure.soak.oracle import Violation, judge
-from measure.soak.random_plan import draw_more_faults, draw_plan
+from measure.soak.random_plan import draw_extra_faults, draw_plan
 from measure.soak.records import Outage
 from measure.soak.run import SoakRun
 from measure.soak.stand_ins import AnswerFault
 
-LAG_S = 0.8  # other tests take processor time; the versions that broke sent for 2 s and more beyond the grace
+LAG_S = 0.8  # allows for other tests on the machine; faulty versions sent for 2 s and more after the grace
 
 
-class UnfinishedLists(unittest.TestCase):
-    """The list that says that a worker is gone does not arrive whole; the worker goes on listening."""
+class IncompleteLists(unittest.TestCase):
+    """A worker is removed, but the list without it does not arrive completely. The worker keeps listening.
 
-    async def play(self, faults: list[tuple[AnswerFault, float]], quiet_s: float) -> list[Violation]:
-        """Removes a worker while the next answers of discovery have these faults."""
+    Guards against schedulers that send to the worker for as long as they wait for the rest of the list.
+    """
+
+    async def run_fleet(self, faults: list[tuple[AnswerFault, float]], quiet_s: float) -> list[Violation]:
+        """Removes a worker quiet_s after the start; the next answers of discovery have these faults."""
         fleet = Fleet(FleetPlan(rate_per_s=60.0), seed=1)
         try:
             await fleet.start()
@@ -34,33 +37,36 @@
         self.assertTrue(any(each.worker == "w1" for each in fleet.records.messages))
         return judge(fleet.records, fleet.rules._replace(lag_s=LAG_S))
 
-    async def play_all(self) -> dict[str, list[Violation]]:
+    async def run_cases(self) -> dict[str, list[Violation]]:
         cases = {
-            "stalled in its body": ([(AnswerFault.STALL, 0.95)], 1.5),
-            "stalled in its head": ([(AnswerFault.STALL, 0.05)], 1.5),
-            "stalled twice": ([(AnswerFault.STALL, 0.9)] * 2, 2.5),
-            "without its last chunk": ([(AnswerFault.NO_END, 1.0)], 1.5),
-            "cut off again and again": ([(AnswerFault.CUT, 0.9)] * 400, 1.5),
-            "cut off, then stalled": ([(AnswerFault.CUT, 0.9), (AnswerFault.STALL, 0.9)], 1.5),
+            "stalled in its body": ([(AnswerFault.STALLED, 0.95)], 1.5),
+            "stalled in its head": ([(AnswerFault.STALLED, 0.05)], 1.5),
+            "stalled twice": ([(AnswerFault.STALLED, 0.9)] * 2, 2.5),
+            "without its last chunk": ([(AnswerFault.NO_LAST_CHUNK, 1.0)], 1.5),
+            "truncated 400 times": ([(AnswerFault.TRUNCATED, 0.9)] * 400, 1.5),
+            "truncated, then stalled": ([(AnswerFault.TRUNCATED, 0.9), (AnswerFault.STALLED, 0.9)], 1.5),
         }
-        found = await asyncio.gather(*(self.play(*each) for each in cases.values()))
+        found = await asyncio.gather(*(self.run_fleet(*each) for each in cases.values()))
         return dict(zip(cases, found, strict=True))
 
-    def test_a_removed_worker_gets_nothing_after_the_grace_however_its_list_was_spoilt(self) -> None:
-        for name, violations in asyncio.run(self.play_all()).items():
+    def test_a_removed_worker_gets_no_jobs_after_the_grace_if_its_list_is_incomplete(self) -> None:
+        for name, violations in asyncio.run(self.run_cases()).items():
             with self.subTest(name):
                 self.assertEqual([str(each) for each in violations[:5]], [])
 
 
 class Restarts(unittest.TestCase):
-    """The list that a scheduler starts with is from before the removal of a worker, which listens again."""
+    """A scheduler restarts with a persisted list that holds a removed worker, which still listens.
+
+    Guards against processes that send by their persisted list before discovery has confirmed it.
+    """
 
-    async def play(self, by_kill: bool, faults: list[tuple[AnswerFault, float]]) -> list[Violation]:
+    async def run_fleet(self, with_sigkill: bool, faults: list[tuple[AnswerFault, float]]) -> list[Violation]:
         fleet = Fleet(FleetPlan(rate_per_s=60.0), seed=1)
         try:
             await fleet.start()
             await asyncio.sleep(1.0)
-            restart = asyncio.ensure_future(fleet.restart_scheduler("n0", by_kill, down_s=11.5))
+            restart = asyncio.ensure_future(fleet.restart_scheduler("n0", with_sigkill, down_s=11.5))
             await asyncio.sleep(0.3)
             fleet.discovery.change(["w0"], "left")
             await asyncio.sleep(6.0)
@@ -74,27 +80,27 @@
         self.assertGreater(len(answered), 10)
         return judge(fleet.records, fleet.rules._replace(lag_s=LAG_S))
 
-    async def play_all(self) -> dict[str, list[Violation]]:
+    async def run_cases(self) -> dict[str, list[Violation]]:
         cases = {
             "killed": (True, []),
             "terminated": (False, []),
-            "the first answer stalls": (True, [(AnswerFault.STALL, 0.9)]),
-            "the first answer is late": (True, [(AnswerFault.LATE, 1.0)]),
-            "the first answer is lost": (True, [(AnswerFault.SILENT, 0.0)]),
+            "killed, first answer stalls": (True, [(AnswerFault.STALLED, 0.9)]),
+            "killed, first answer is late": (True, [(AnswerFault.LATE, 1.0)]),
+            "killed, first answer is never sent": (True, [(AnswerFault.SILENT, 0.0)]),
         }
-        found = await asyncio.gather(*(self.play(*each) for each in cases.values()))
+        found = await asyncio.gather(*(self.run_fleet(*each) for each in cases.values()))
         return dict(zip(cases, found, strict=True))
 
-    def test_a_new_process_sends_nothing_by_a_list_that_is_too_old(self) -> None:
-        for name, violations in asyncio.run(self.play_all()).items():
+    def test_a_new_process_does_not_send_by_a_stale_list(self) -> None:
+        for name, violations in asyncio.run(self.run_cases()).items():
             with self.subTest(name):
                 self.assertEqual([str(each) for each in violations[:5]], [])
 
 
 class StartsDuringOutages(unittest.TestCase):
-    """A scheduler is away while a worker begins to drain, and comes back while discovery is down."""
+    """A scheduler is down while a worker begins to drain, and restarts while discovery is unreachable."""
 
-    async def play(self) -> tuple[list[Violation], int]:
+    async def run_fleet(self) -> tuple[list[Violation], int]:
         fleet = Fleet(FleetPlan(rate_per_s=30.0), seed=1)
         try:
             await fleet.start()
@@ -105,7 +111,7 @@
             fleet.discovery.change(["w0"], "leaving")
             await asyncio.sleep(8.0)
             link = fleet.discovery.links["n0"]
-            link.set_state(LinkState(refuses=True))
+            link.set_state(LinkState(refuses_connections=True))
             link.reset_connections()
             fleet.records.discovery_outages.append(Outage("n0", time.monotonic()))
             await restart
@@ -116,32 +122,32 @@
         served = [each for each in fleet.records.requests if each.sent_s > started_s and each.status == 200]
         return judge(fleet.records, fleet.rules._replace(lag_s=LAG_S)), len(served)
 
-    def test_a_new_process_serves_and_sends_nothing_to_a_worker_that_drains(self) -> None:
-        violations, served = asyncio.run(self.play())
+    def test_a_new_process_serves_without_sending_to_a_draining_worker(self) -> None:
+        violations, served = asyncio.run(self.run_fleet())
         self.assertEqual([str(each) for each in violations[:5]], [])
         self.assertGreater(served, 40)
 
 
-class Seeds(unittest.TestCase):
-    """A short fixed set of the randomized soak; more of it: python -m measure.soak.run."""
+class FixedSeeds(unittest.TestCase):
+    """Two short runs of the randomized soak. `python -m measure.soak.run` runs more."""
 
-    def test_no_rule_is_broken_under_drawn_faults(self) -> None:
-        plan = FleetPlan(schedulers=3, workers=4, rate_per_s=8.0)
+    def test_random_faults_cause_no_violations(self) -> None:
+        plan = FleetPlan(scheduler_count=3, worker_count=4, rate_per_s=8.0)
         for seed in (3, 6):
             with self.subTest(seed):
-                result = asyncio.run(SoakRun(seed, 24.0, plan, LAG_S).play())
+                result = asyncio.run(SoakRun(seed, 24.0, plan, LAG_S).run())
                 self.assertEqual(result.failures, [])
-                self.assertGreater(result.requests, 200)
+                self.assertGreater(result.request_count, 200)
 
 
-class DrawnFleets(unittest.TestCase):
-    """Sizes, limits, settings and faults drawn from a seed; more: measure.soak.run --seeds A..B --drawn."""
+class RandomFleets(unittest.TestCase):
+    """Two runs with random sizes, limits, settings and faults. `--drawn` of measure.soak.run runs more."""
 
-    def test_no_rule_is_broken_in_fleets_of_any_size(self) -> None:
+    def test_random_fleets_have_no_violations(self) -> None:
         for seed in (9002, 9003):
             with self.subTest(seed):
                 plan = draw_plan(seed, 8.0)
-                more = tuple(draw_more_faults(seed, 24.0, plan))
-                result = asyncio.run(SoakRun(seed, 24.0, plan, LAG_S, more).play())
+                extra_faults = tuple(draw_extra_faults(seed, 24.0, plan))
+                result = asyncio.run(SoakRun(seed, 24.0, plan, LAG_S, extra_faults).run())
                 self.assertEqual(result.failures, [])
-                self.assertGreater(result.statuses["200"], 50)
+                self.assertGreater(result.status_counts["200"], 50)
