--- a/measure/soak/planted_bugs.py
+++ b/measure/soak/planted_bugs.py
@@ -52,10 +52,10 @@
 
 def draining_ignored() -> None:
     """Treats draining workers as active."""
-    from spanwing.discovery import client
+    from spanwing.discovery import client, worker_table
 
     client.STATE_OF_PHASE["leaving"] = "healthy"
-    client.DiscoveryClient._set_draining = lambda self, worker, is_draining: None
+    worker_table.set_draining = lambda actor, is_draining: None
 
 
 def unsafe_repeated() -> None:
