--- a/measure/soak/fleet.py
+++ b/measure/soak/fleet.py
@@ -23,6 +23,7 @@
     placeholder_members,
 )
 
+#: By class: its share of the requests, its deadline and the mean run time of its jobs.
 CLASSES: dict[str, dict[str, float]] = {
     "status-read": {"share": 0.6, "deadline_ms": 3000.0, "run_s": 0.1},
     "schedule-apply": {"share": 0.2, "deadline_ms": 8000.0, "run_s": 0.2},
@@ -204,7 +205,7 @@
         }
 
     async def start_scheduler(self, name: str) -> None:
-        """Starts or restarts a scheduler and directs clients and callbacks to its port."""
+        """Starts or restarts a scheduler and directs clients and call-backs to its port."""
         began_s = time.monotonic()
         # The name makes the seed of the system call shim different for each scheduler.
         command = tuple(each.replace("SCHEDULER", name) for each in self.plan.command)
--- a/measure/soak/oracle.py
+++ b/measure/soak/oracle.py
@@ -18,8 +18,8 @@
 TIME_SLACK_S = 0.05  # measurement tolerance of time limits
 LATE_ANSWER_LIMIT_S = 0.5  # an answer is late until this long after its deadline, then the request is lost
 DISCONNECT_GRACE_S = 0.1  # attempts may begin until this long after their client has disconnected
-BUDGET_SLACK_MS = 150.0
-NOTIFICATION_LIMIT_S = 6.0  # a change counts as notified this long after it, or after discovery's outage
+BUDGET_SLACK_MS = 150.0  # tolerance of the time that is passed to a worker
+NOTIFICATION_LIMIT_S = 6.0  # from a change, or the end of discovery's outage, to its notification
 DEFAULT_LAG_S = 0.05  # from a scheduler's send to the proxy's time stamp, on a machine with idle cores
 
 
@@ -74,7 +74,7 @@
 def lost_requests(records: Records, lag_s: float) -> Iterator[Violation]:
     """Yields requests that were not answered in time.
 
-    Exempt are requests whose client disconnected or whose scheduler was killed or paused in the meantime.
+    Requests are exempt if their client disconnected, or if their scheduler was down or paused meanwhile.
     """
     for each in records.requests:
         due_s = each.sent_s + each.budget_ms / 1000.0 + LATE_ANSWER_LIMIT_S
@@ -122,7 +122,7 @@
     """Returns the time at which a change of the endpoint list counts as notified to a scheduler.
 
     This is NOTIFICATION_LIMIT_S after the change, or after an outage of discovery that delays it, but not
-    later than the first delivery of a list with the change to a running process.
+    later than the first delivery of a list with the change to a running process. made_s is the change's time.
     """
     latest_s = made_s + NOTIFICATION_LIMIT_S
     for each in sorted(records.discovery_outages, key=lambda outage: outage.begin_s):
@@ -169,7 +169,7 @@
 
 
 def forbidden_repeats(records: Records, rules: RuleSet) -> Iterator[Violation]:
-    """Yields retries that could run a job twice.
+    """Yields retries by which a non-idempotent job could take effect twice.
 
     A request of an unsafe class may be sent again only if the earlier attempt never ran. One of a keyed class
     may be sent again only within its deduplication window, counted from the earlier attempt.
--- a/measure/soak/random_plan.py
+++ b/measure/soak/random_plan.py
@@ -44,7 +44,7 @@
 def draw_extra_faults(seed: int, run_duration_s: float, plan: FleetPlan) -> list[Fault]:
     """Returns 1 to 5 faults of the kinds in EXTRA_KINDS, in no particular order.
 
-    run_duration_s: length of the run; the faults begin outside its fault-free start and end.
+    run_duration_s: length of the run. No fault begins in its first 2 s or last 9 s.
     """
     rng, found = random.Random(f"{seed} more"), []
     for _ in range(rng.randint(1, 5)):
--- a/measure/soak/records.py
+++ b/measure/soak/records.py
@@ -98,9 +98,9 @@
     connection_ends: list[ConnectionEnd] = field(default_factory=list)
     changes: list[EndpointChange] = field(default_factory=list)
     deliveries: list[ListDelivery] = field(default_factory=list)
-    #: Discovery could not be reached.
+    #: The scheduler could not reach discovery.
     discovery_outages: list[Outage] = field(default_factory=list)
-    #: The process was killed or paused.
+    #: The process was down after a kill or a termination, or was paused for long.
     process_outages: list[Outage] = field(default_factory=list)
     #: Idle clients occupied the scheduler's descriptors.
     connection_floods: list[Outage] = field(default_factory=list)
--- a/measure/soak/run.py
+++ b/measure/soak/run.py
@@ -36,6 +36,7 @@
 from measure.soak.records import Outage
 from measure.soak.stand_ins import AnswerFault, IdleConnectionFlood, WorkerMode
 
+#: Log lines of a scheduler that count as failures: violations that it detected itself, and exceptions.
 LOGGED_FAILURE = re.compile(r"rule_violated .*|Traceback .*|fault (?:in|on) .*")
 MAX_SHOWN_FAILURES = 8
 RELOADS_PER_FAULT = 4
@@ -51,9 +52,9 @@
 
 
 class RunResult(NamedTuple):
-    """The result of a run. Counts are those of the whole run; a status of None stands for no answer."""
+    """The result of a run. In status_counts, None stands for requests without an answer."""
 
-    failures: list[str]
+    failures: list[str]  # descriptions of violations, logged failures, exits and harness errors
     request_count: int
     attempt_count: int
     status_counts: dict[str, int]
@@ -124,6 +125,7 @@
         )
 
     async def _inject_fault(self, fault: Fault) -> None:
+        """Injects a fault and returns after its duration, or at once if it has no duration."""
         fleet = self.fleet
         scheduler = fleet.scheduler_names[fault.target % len(fleet.scheduler_names)]
         worker = list(fleet.workers)[fault.target % len(fleet.workers)]
@@ -188,6 +190,7 @@
         faults.clear()
 
     async def _inject_discovery_fault(self, names: list[str], link: LinkState, duration_s: float) -> None:
+        """Sets a fault on the links of these schedulers to discovery, and records their outages."""
         outages = []
         for name in names:
             proxy = self.fleet.discovery.links[name]
@@ -236,9 +239,8 @@
             case FaultKind.PAUSE | FaultKind.LONG_PAUSE:
                 began_s = time.monotonic()
                 await self.fleet.pause_scheduler(name, fault.duration_s)
-                if (
-                    fault.kind is FaultKind.LONG_PAUSE
-                ):  # longer than the rules require a scheduler to account for
+                # The rules do not require a scheduler to account for pauses of this length.
+                if fault.kind is FaultKind.LONG_PAUSE:
                     outage = Outage(name, began_s, time.monotonic() + 0.5)
                     self.fleet.records.process_outages.append(outage)
             case FaultKind.TERMINATE | FaultKind.KILL:
@@ -257,6 +259,7 @@
                 await self._flood_connections(name, fault.duration_s)
 
     async def _flood_connections(self, name: str, duration_s: float) -> None:
+        """Opens as many idle connections to a scheduler as its limit of descriptors."""
         flood, outage = IdleConnectionFlood(), Outage(name, time.monotonic())
         self.fleet.records.connection_floods.append(outage)
         await flood.open(self.fleet.clients[name].port, self.plan.max_descriptors)
--- a/measure/soak/stand_ins.py
+++ b/measure/soak/stand_ins.py
@@ -19,8 +19,8 @@
     WorkerOutcome,
 )
 
-MAX_CALLBACK_ATTEMPTS, CALLBACK_RETRY_S = 10, 0.2
-PLACEHOLDER_PORT = 9
+MAX_CALLBACK_ATTEMPTS, CALLBACK_RETRY_S = 10, 0.2  # a worker repeats a call-back that is not answered
+PLACEHOLDER_PORT = 9  # the discard service; no process listens there
 MessageParts = tuple[str, dict[str, str], bytes]  # first line, headers by lower-case name, body
 
 
@@ -298,6 +298,7 @@
             writer.close()
 
     def _handle(self, request_line: str, headers: dict[str, str], _: bytes) -> bytes | None:
+        """Handles a request of a scheduler; returns the response, or None if the worker never responds."""
         method, target, _ = request_line.split(" ", 2)
         if method == "GET":  # a draining worker also reports it in its health checks
             return encode_response(503 if self.is_draining else 200, b"{}")
@@ -323,6 +324,7 @@
         return encode_response(202)
 
     async def _run(self, request: str, service_class: str) -> None:
+        """Runs a job and posts its result to the scheduler, whose name begins the request's id."""
         await asyncio.sleep(self.run_s[service_class] * self.rng.uniform(0.5, 1.5))
         self._record_outcome(request, "done")
         self.jobs.pop(request, None)
@@ -355,7 +357,7 @@
 
 
 async def post_callback(port: int, body: bytes) -> bool:
-    """Posts a worker's callback; returns whether it was answered with 200 or 204 within 1 s."""
+    """Posts a worker's call-back; returns whether it was answered with 200 or 204 within 1 s."""
     try:
         reader, writer = await asyncio.open_connection(HOST, port)
         head = f"POST /v1/job-events HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n"
@@ -393,6 +395,7 @@
             task.add_done_callback(self.tasks.discard)
 
     async def _send_request(self) -> None:
+        """Sends one request of a random class with its full budget or 30% of it."""
         names = list(self.classes)
         service_class = self.rng.choices(names, [self.classes[name]["share"] for name in names])[0]
         budget_ms = int(self.classes[service_class]["deadline_ms"] * self.rng.choice((0.3, 1.0, 1.0)))
@@ -432,6 +435,10 @@
         writer: asyncio.StreamWriter,
         disconnects_early: bool,
     ) -> None:
+        """Records the answer, its absence or the client's disconnect.
+
+        Most clients wait until 3 s after their deadline; those that disconnect early wait at most 0.5 s.
+        """
         timeout_s = record.budget_ms / 1000.0 + 3.0
         if disconnects_early:
             timeout_s = self.rng.uniform(0.0, 0.5)
