--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -18,14 +18,14 @@
 class ClockSteps(unittest.IsolatedAsyncioTestCase):
     async def run_step(self, step_s: float, is_silent: bool) -> None:
         """Steps the clock, then drains a worker; with is_silent, discovery's answers are withheld."""
-        command = ("-m", "measure.soak.shimmed", f"step:{STEP_AT_S}:{step_s}")
+        command = ("-m", "measure.soak.syscall_shim", f"step:{STEP_AT_S}:{step_s}")
         fleet = Fleet(FleetPlan(rate_per_s=40.0, command=command), seed=1)
         try:
             await fleet.start()
-            stepped_s = fleet.records.starts[0][1] + STEP_AT_S
+            stepped_s = fleet.records.scheduler_starts[0][1] + STEP_AT_S
             await asyncio.sleep(STEP_AT_S + 2.5)
             fleet.discovery.links["n0"].set_state(LinkState(holds_answers=is_silent))
-            fleet.workers["w0"].drains = True
+            fleet.workers["w0"].is_draining = True
             fleet.discovery.change(["w0"], "leaving")
             await asyncio.sleep(11.0 if is_silent else 3.5)
         finally:
