--- a/tests/player.py
+++ b/tests/player.py
@@ -222,7 +222,7 @@
         self.do_folder("gate")
         self.gate = Path(self.words["gate"]) / "gate"
         os.mkfifo(self.gate)
-        self.command = (str(Path(__file__).parent / "oddly.py"), f"hold={self.gate}")
+        self.command = (str(Path(__file__).parent / "instrumented_daemon.py"), f"hold={self.gate}")
 
     def do_release(self) -> None:
         with self.gate.open("w") as gate:
--- a/tests/test_termination_races.py
+++ b/tests/test_termination_races.py
@@ -42,7 +42,7 @@
 DEDUPLICATION_WINDOW_MS = 12000
 FILL_BYTES = b"0" * 65536
 BUFFER_SETTLE_S = 0.05  # time for the kernel to move bytes from the send buffer to the receive buffer
-ODDLY_SCRIPT = str(Path(__file__).parent / "oddly.py")
+INSTRUMENTED_DAEMON_SCRIPT = str(Path(__file__).parent / "instrumented_daemon.py")
 
 
 class ListenerStandIn:
@@ -327,7 +327,9 @@
                     os.mkfifo(gate)
                     listener = ListenerStandIn(self)
                     self.start(
-                        member("w1", listener.port), cancel=cancel, command=(ODDLY_SCRIPT, f"hold={gate}")
+                        member("w1", listener.port),
+                        cancel=cancel,
+                        command=(INSTRUMENTED_DAEMON_SCRIPT, f"hold={gate}"),
                     )
                     client = self.connect_client()
                     client.submit(cls, "job-1", b"body")
@@ -720,7 +722,7 @@
     def test_last_byte_is_not_sent_after_the_timeout_of_a_partly_sent_attempt(self) -> None:
         """The worker reads only a part, the client's deadline passes, and then the worker reads the rest."""
         listener = ListenerStandIn(self, receive_buffer_bytes=1024)
-        self.start(member("w1", listener.port), command=(ODDLY_SCRIPT, "small"))
+        self.start(member("w1", listener.port), command=(INSTRUMENTED_DAEMON_SCRIPT, "small"))
         client = self.connect_client()
         client.submit("status-read", "job-1", bytes(60_000), budget_ms=400)
         worker = listener.accept()
@@ -732,7 +734,7 @@
     def test_last_byte_is_not_sent_after_the_client_of_a_partly_sent_attempt_disconnects(self) -> None:
         """Unsent bytes are not sent even where the settings allow no cancellation."""
         listener = ListenerStandIn(self, receive_buffer_bytes=1024)
-        self.start(member("w1", listener.port), command=(ODDLY_SCRIPT, "small"), cancel=False)
+        self.start(member("w1", listener.port), command=(INSTRUMENTED_DAEMON_SCRIPT, "small"), cancel=False)
         client = self.connect_client()
         client.submit("status-read", "job-1", bytes(60_000))
         worker = listener.accept()
@@ -743,7 +745,7 @@
         self.assertNotIn("tries", self.read_counters())
 
     def create_control_files(self) -> tuple[Path, Path]:
-        """Returns a pipe for oddly.py's option `hold`, and an empty file for its option `ahead`."""
+        """Returns a pipe for instrumented_daemon.py's option `hold`, and an empty file for its option `ahead`."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         gate, ahead = Path(folder.name) / "gate", Path(folder.name) / "ahead"
@@ -762,7 +764,11 @@
             DiscoveryStandIn(self),
         )
         backlog_count, (_, ahead) = second.fill_backlog(), self.create_control_files()
-        self.start(member("w1", first.port), discovery=discovery, command=(ODDLY_SCRIPT, f"ahead={ahead}"))
+        self.start(
+            member("w1", first.port),
+            discovery=discovery,
+            command=(INSTRUMENTED_DAEMON_SCRIPT, f"ahead={ahead}"),
+        )
         discovery.next_watch()
         client = self.connect_client()
         client.submit("setpoint-push", "job-1")
@@ -785,7 +791,7 @@
         self.start(
             member("w1", first.port),
             discovery=discovery,
-            command=(ODDLY_SCRIPT, f"hold={gate}", f"ahead={ahead}"),
+            command=(INSTRUMENTED_DAEMON_SCRIPT, f"hold={gate}", f"ahead={ahead}"),
         )
         discovery.next_watch()
         client = self.connect_client()
@@ -828,7 +834,7 @@
 class DrainTests(DaemonTestCase):
     def test_client_that_never_reads_its_answer_does_not_block_the_drain(self) -> None:
         listener = ListenerStandIn(self)
-        self.start(member("w1", listener.port), command=(ODDLY_SCRIPT, "small"))
+        self.start(member("w1", listener.port), command=(INSTRUMENTED_DAEMON_SCRIPT, "small"))
         client = socket.socket()
         self.addCleanup(client.close)
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
@@ -844,7 +850,7 @@
     def test_partly_written_answer_is_completed_during_the_drain(self) -> None:
         """The client reads the rest only after the drain has visibly started."""
         listener = ListenerStandIn(self)
-        self.start(member("w1", listener.port), command=(ODDLY_SCRIPT, "small"))
+        self.start(member("w1", listener.port), command=(INSTRUMENTED_DAEMON_SCRIPT, "small"))
         client = socket.socket()
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
         client.connect(self.daemon.addresses["clients"])
@@ -870,7 +876,7 @@
         self.addCleanup(folder.cleanup)
         gate = Path(folder.name) / "gate"
         os.mkfifo(gate)
-        self.start(command=(ODDLY_SCRIPT, f"end={gate}"))
+        self.start(command=(INSTRUMENTED_DAEMON_SCRIPT, f"end={gate}"))
         self.daemon.process.send_signal(signal.SIGTERM)
         with self.daemon.patience():
             while "ending" not in self.daemon.process.stdout.readline():
