--- a/tests/simdisk.py
+++ b/tests/simulated_disk.py
@@ -5,11 +5,11 @@
 import random
 
 
-class Crash(BaseException):
+class PowerLoss(BaseException):
     """The power is gone; nothing catches this."""
 
 
-class SimDisk:
+class SimulatedDisk:
     """Files as the journal asks for them. Every call may be the last one, and may fail."""
 
     def __init__(self, seed: int) -> None:
@@ -24,7 +24,7 @@
     def _call(self, name: str) -> None:
         self.calls += 1
         if self.calls == self.crash_at:
-            raise Crash
+            raise PowerLoss
         if name in self.fail:
             raise self.fail[name]
 
@@ -47,7 +47,7 @@
     def append(self, name: str, data: bytes) -> None:
         try:
             self._call("append")
-        except Crash:
+        except PowerLoss:
             self.files[name] += data[: self.random.randrange(len(data) + 1)]
             raise
         if self.room is not None and len(data) > self.room:
@@ -61,7 +61,7 @@
     def sync(self, name: str) -> None:
         try:
             self._call("sync")
-        except Crash:
+        except PowerLoss:
             if self.random.random() < 0.5:  # the crash came after the disk had all of it
                 self.contents[name] = self.files[name]
             raise
@@ -85,9 +85,9 @@
     def close_all(self) -> None:
         pass
 
-    def after_power_loss(self) -> SimDisk:
+    def after_power_loss(self) -> SimulatedDisk:
         """What is found when the machine is back."""
-        fresh = SimDisk(self.random.randrange(1 << 30))
+        fresh = SimulatedDisk(self.random.randrange(1 << 30))
         names = set(self.synced) | {name for name in self.files if self.random.random() < 0.5}
         for name in names:
             if name not in self.files and self.random.random() < 0.5:
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -12,7 +12,7 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from simdisk import Crash, SimDisk
+from simulated_disk import PowerLoss, SimulatedDisk
 
 from spanwing.journal.committer import DISK_BACKOFF_S, MAX_PENDING_RECORDS, Committer
 from spanwing.journal.compaction import SegmentCompactor
@@ -175,7 +175,7 @@
         gap, start = JournalGap("", 3.0, 3.0, 2.0, 1, "full"), ProcessStarted("", 4.0, 4.0, "n", "x")
         for certain in (True, False):
             for process_record in (gap, start):
-                disk = SimDisk(1)
+                disk = SimulatedDisk(1)
                 log = SegmentLog(disk, SMALL_SEGMENTS)
                 log.write([ProcessStarted("", 0.0, 0.0, "n", "w", certain), accepted], 0.0)
                 log.write([process_record], 0.0)
@@ -217,7 +217,7 @@
 class PowerLossTest(unittest.TestCase):
     """Loses power at every disk call of seeded runs; bytes that were not synced are lost or damaged."""
 
-    def write_batches(self, disk: SimDisk, seed: int, acknowledged: list, attempted: list) -> None:
+    def write_batches(self, disk: SimulatedDisk, seed: int, acknowledged: list, attempted: list) -> None:
         """Writes seeded batches; adds each to attempted before its write() and to acknowledged after it."""
         source = random.Random(seed)
         log = SegmentLog(disk, SMALL_SEGMENTS)
@@ -235,7 +235,7 @@
             if source.random() < 0.3:
                 log.remove_expired(1000.0 * number)
 
-    def check(self, disk: SimDisk, acknowledged: list, attempted: list) -> None:
+    def check(self, disk: SimulatedDisk, acknowledged: list, attempted: list) -> None:
         records = [item.record for _, item in SegmentReader(disk).read_all() if isinstance(item, RecordFrame)]
         on_disk = set(records)
         lost = [record for record in acknowledged if record not in on_disk]
@@ -245,17 +245,17 @@
     def test_no_acknowledged_record_is_lost(self) -> None:
         crashes = 0
         for seed in range(200):
-            disk = SimDisk(seed)
+            disk = SimulatedDisk(seed)
             self.write_batches(disk, seed, [], [])
             for call in range(1, disk.calls + 1):
                 for repetition in range(1):
                     crashing_disk, acknowledged, attempted = (
-                        SimDisk(seed * 1000 + call * 10 + repetition),
+                        SimulatedDisk(seed * 1000 + call * 10 + repetition),
                         [],
                         [],
                     )
                     crashing_disk.crash_at = call
-                    with self.assertRaises(Crash):
+                    with self.assertRaises(PowerLoss):
                         self.write_batches(crashing_disk, seed, acknowledged, attempted)
                     restarted_disk = crashing_disk.after_power_loss()
                     self.check(restarted_disk, acknowledged, attempted)
@@ -263,7 +263,7 @@
                     restarted_disk.crash_at = random.Random(call).randrange(1, 40)
                     try:
                         self.write_batches(restarted_disk, seed + 5000, acknowledged, attempted)
-                    except Crash:
+                    except PowerLoss:
                         pass
                     final_disk = restarted_disk.after_power_loss()
                     self.check(final_disk, acknowledged, attempted)
@@ -289,7 +289,7 @@
 
     LIMITS = RetentionLimits(900, 1e12, 1e12, 1 << 40, {"setpoint-push": 1000.0})
 
-    def fill_log(self, disk: SimDisk) -> tuple[SegmentLog, list, list]:
+    def fill_log(self, disk: SimulatedDisk) -> tuple[SegmentLog, list, list]:
         """Writes requests of both classes; returns the log and the records with long and short retention."""
         log, long_records, short_records = SegmentLog(disk, self.LIMITS), [], []
         for number in range(12):
@@ -302,20 +302,20 @@
             long_records, short_records = long_records + long_request, short_records + short_request
         return log, long_records, short_records
 
-    def compact(self, disk: SimDisk, log: SegmentLog, now_ms: float = 1e6) -> None:
+    def compact(self, disk: SimulatedDisk, log: SegmentLog, now_ms: float = 1e6) -> None:
         compactor = SegmentCompactor(disk, self.LIMITS)
         compactor.remove_partial_files()
         for _ in compactor.compact(log.request_states.oldest_needed_number(), now_ms):
             pass
 
-    def read_undamaged(self, disk: SimDisk) -> list:
+    def read_undamaged(self, disk: SimulatedDisk) -> list:
         """Returns all records on the disk; fails if any of it is damaged."""
         items = [item for _, item in SegmentReader(disk).read_all()]
         self.assertEqual([item for item in items if isinstance(item, DamagedBytes)], [])
         return [item.record for item in items]
 
     def test_only_records_of_the_expired_class_are_dropped(self) -> None:
-        disk = SimDisk(1)
+        disk = SimulatedDisk(1)
         log, long_records, short_records = self.fill_log(disk)
         self.compact(disk, log, 500.0)
         self.assertEqual(len(self.read_undamaged(disk)), len(long_records) + len(short_records))
@@ -330,7 +330,7 @@
         self.assertEqual(log.write(request_records("after"), 2e6), log.last_number)
 
     def test_segments_that_an_open_request_needs_are_not_changed(self) -> None:
-        disk = SimDisk(1)
+        disk = SimulatedDisk(1)
         log = SegmentLog(disk, self.LIMITS)
         log.write([RequestAccepted("open", 1.0, 1.0, "setpoint-push"), *request_records("x")[:1]], 0.0)
         for number in range(9):
@@ -343,15 +343,15 @@
     def test_crash_at_every_disk_call_leaves_a_usable_log(self) -> None:
         crashes = 0
         for seed in range(12):
-            intact_disk = SimDisk(seed)
+            intact_disk = SimulatedDisk(seed)
             log, long_records, _ = self.fill_log(intact_disk)
             calls_before = intact_disk.calls
             self.compact(intact_disk, log)
             for call in range(calls_before + 1, intact_disk.calls + 1):
-                disk = SimDisk(seed * 100 + call)
+                disk = SimulatedDisk(seed * 100 + call)
                 log, long_records, _ = self.fill_log(disk)
                 disk.crash_at = call
-                with self.assertRaises(Crash):
+                with self.assertRaises(PowerLoss):
                     self.compact(disk, log)
                 restarted_disk = disk.after_power_loss()
                 # The log opens, and a second run completes the compaction.
@@ -369,7 +369,7 @@
 
 class SegmentLogFailuresTest(unittest.TestCase):
     def test_segment_is_not_written_again_after_a_failed_sync(self) -> None:
-        disk = SimDisk(1)
+        disk = SimulatedDisk(1)
         log = SegmentLog(disk, SMALL_SEGMENTS)
         log.write(request_records("a"), 0.0)
         failed_segment = log.current_segment
@@ -390,7 +390,7 @@
         self.assertNotIn("b", log.request_states.open_requests)
 
     def test_log_recovers_from_a_full_disk(self) -> None:
-        disk = SimDisk(1)
+        disk = SimulatedDisk(1)
         log = SegmentLog(disk, SMALL_SEGMENTS)
         log.write(request_records("a"), 0.0)
         disk.room = 30
@@ -406,7 +406,7 @@
         self.assertEqual(request_ids, {"a", "c"})
 
     def test_clock_steps_back_segment_missing_and_newer_segment_version(self) -> None:
-        disk = SimDisk(1)
+        disk = SimulatedDisk(1)
         log = SegmentLog(disk, SMALL_SEGMENTS)
         for number in range(9):
             log.write(request_records(f"job-{number}"), 1e6 - number * 1000)
@@ -432,7 +432,7 @@
         self.assertTrue(list(SegmentReader(disk).read_all()))  # the other segments can still be read
 
     def test_retention_keeps_segments_that_an_open_request_needs(self) -> None:
-        disk, limits = SimDisk(1), RetentionLimits(900, 1e9, 10.0, 1 << 40)
+        disk, limits = SimulatedDisk(1), RetentionLimits(900, 1e9, 10.0, 1 << 40)
         log = SegmentLog(disk, limits)
         log.write(request_records("open")[:3], 0.0)
         for number in range(12):
@@ -467,7 +467,7 @@
 class GroupCommitTest(unittest.TestCase):
     """Many submissions share few syncs, and a callback with an empty reason means the records are on disk."""
 
-    def make_committer(self, disk: SimDisk) -> Committer:
+    def make_committer(self, disk: SimulatedDisk) -> Committer:
         """Returns a committer, not yet started, whose monotonic clock is self.now_s."""
         self.now_s = 0.0
         committer = Committer(
@@ -485,7 +485,7 @@
             time.sleep(0.001)
 
     def test_concurrent_submissions_share_syncs_and_keep_their_order(self) -> None:
-        disk, results = SimDisk(1), []
+        disk, results = SimulatedDisk(1), []
         committer = self.make_committer(disk)
 
         def make_callback(number: int):
@@ -507,7 +507,7 @@
         self.assertLess(committer.syncs, 10)
 
     def test_failing_disk_is_reported_and_lost_records_become_a_gap(self) -> None:
-        disk, results = SimDisk(1), []
+        disk, results = SimulatedDisk(1), []
         committer = self.make_committer(disk)
         disk.fail["sync"] = OSError(5, "Input/output error")
         committer.start()
@@ -528,7 +528,7 @@
         self.assertEqual([(gap.count, gap.why) for gap in gaps], [(4, "Input/output error")])
 
     def test_queue_is_bounded_while_the_disk_is_slow(self) -> None:
-        committer = self.make_committer(SimDisk(1))
+        committer = self.make_committer(SimulatedDisk(1))
         records = request_records("job")[:2]
         # The thread is not started yet, which stands for a write that takes long.
         accepted = sum(committer.submit(records) for _ in range(MAX_PENDING_RECORDS))
--- a/tests/test_journal_core.py
+++ b/tests/test_journal_core.py
@@ -13,7 +13,7 @@
 from collections import Counter
 
 from conftest import settings
-from simdisk import SimDisk
+from simulated_disk import SimulatedDisk
 from tornado.concurrent import Future
 from tornado.gen import sleep
 from tornado.testing import AsyncTestCase, gen_test
@@ -44,7 +44,7 @@
 CLS = "bill"  # a class of non-idempotent requests
 
 
-class GatedDisk(SimDisk):
+class GatedDisk(SimulatedDisk):
     """A disk whose syncs block while the gate is closed."""
 
     def __init__(self) -> None:
@@ -62,7 +62,7 @@
 
     name, address, records_intent_itself = "w1", "127.0.0.1:9", False
 
-    def __init__(self, disk: SimDisk) -> None:
+    def __init__(self, disk: SimulatedDisk) -> None:
         self.disk, self.delivered, self.without_intent = disk, [], 0
         self.durable_intents: set[tuple[str, int]] = set()
 
@@ -86,7 +86,7 @@
 class SyncedFiles:
     """The files that a disk has after a power loss which loses everything that was not synced."""
 
-    def __init__(self, disk: SimDisk) -> None:
+    def __init__(self, disk: SimulatedDisk) -> None:
         self.files = {name: disk.contents.get(name, b"") for name in disk.synced}
 
     def names(self) -> list[str]:
