--- a/tests/simulated_disk.py
+++ b/tests/simulated_disk.py
@@ -17,16 +17,16 @@
         self.synced: dict[str, bytes] = {}  # lasting names and contents
         self.files: dict[str, bytes] = {}  # as the operating system shows them
         self.contents: dict[str, bytes] = {}  # synced contents of files, whatever their names
-        self.calls, self.crash_at = 0, 0
-        self.fail: dict[str, OSError] = {}  # by call: what it raises from now on
-        self.room: int | None = None  # bytes that still fit
+        self.call_count, self.crash_at_call = 0, 0
+        self.errors_by_call: dict[str, OSError] = {}  # by call: what it raises from now on
+        self.free_bytes: int | None = None  # bytes that still fit
 
     def _call(self, name: str) -> None:
-        self.calls += 1
-        if self.calls == self.crash_at:
+        self.call_count += 1
+        if self.call_count == self.crash_at_call:
             raise PowerLoss
-        if name in self.fail:
-            raise self.fail[name]
+        if name in self.errors_by_call:
+            raise self.errors_by_call[name]
 
     def names(self) -> list[str]:
         return sorted(self.files)
@@ -50,12 +50,12 @@
         except PowerLoss:
             self.files[name] += data[: self.random.randrange(len(data) + 1)]
             raise
-        if self.room is not None and len(data) > self.room:
-            self.files[name] += data[: self.room]
-            self.room = 0
+        if self.free_bytes is not None and len(data) > self.free_bytes:
+            self.files[name] += data[: self.free_bytes]
+            self.free_bytes = 0
             raise OSError(28, "No space left on device")
-        if self.room is not None:
-            self.room -= len(data)
+        if self.free_bytes is not None:
+            self.free_bytes -= len(data)
         self.files[name] += data
 
     def sync(self, name: str) -> None:
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -247,20 +247,20 @@
         for seed in range(200):
             disk = SimulatedDisk(seed)
             self.write_batches(disk, seed, [], [])
-            for call in range(1, disk.calls + 1):
+            for call in range(1, disk.call_count + 1):
                 for repetition in range(1):
                     crashing_disk, acknowledged, attempted = (
                         SimulatedDisk(seed * 1000 + call * 10 + repetition),
                         [],
                         [],
                     )
-                    crashing_disk.crash_at = call
+                    crashing_disk.crash_at_call = call
                     with self.assertRaises(PowerLoss):
                         self.write_batches(crashing_disk, seed, acknowledged, attempted)
                     restarted_disk = crashing_disk.after_power_loss()
                     self.check(restarted_disk, acknowledged, attempted)
                     # A second incarnation writes to the same disk and may lose power, too.
-                    restarted_disk.crash_at = random.Random(call).randrange(1, 40)
+                    restarted_disk.crash_at_call = random.Random(call).randrange(1, 40)
                     try:
                         self.write_batches(restarted_disk, seed + 5000, acknowledged, attempted)
                     except PowerLoss:
@@ -345,12 +345,12 @@
         for seed in range(12):
             intact_disk = SimulatedDisk(seed)
             log, long_records, _ = self.fill_log(intact_disk)
-            calls_before = intact_disk.calls
+            calls_before = intact_disk.call_count
             self.compact(intact_disk, log)
-            for call in range(calls_before + 1, intact_disk.calls + 1):
+            for call in range(calls_before + 1, intact_disk.call_count + 1):
                 disk = SimulatedDisk(seed * 100 + call)
                 log, long_records, _ = self.fill_log(disk)
-                disk.crash_at = call
+                disk.crash_at_call = call
                 with self.assertRaises(PowerLoss):
                     self.compact(disk, log)
                 restarted_disk = disk.after_power_loss()
@@ -373,12 +373,12 @@
         log = SegmentLog(disk, SMALL_SEGMENTS)
         log.write(request_records("a"), 0.0)
         failed_segment = log.current_segment
-        disk.fail["sync"] = OSError(5, "Input/output error")
+        disk.errors_by_call["sync"] = OSError(5, "Input/output error")
         with self.assertRaises(OSError):
             log.write(request_records("b"), 0.0)
         with self.assertRaises(OSError):
             log.write(request_records("c"), 0.0)
-        disk.fail.clear()
+        disk.errors_by_call.clear()
         size = len(disk.files[failed_segment])
         log.write(request_records("d"), 0.0)
         self.assertEqual(len(disk.files[failed_segment]), size)
@@ -393,10 +393,10 @@
         disk = SimulatedDisk(1)
         log = SegmentLog(disk, SMALL_SEGMENTS)
         log.write(request_records("a"), 0.0)
-        disk.room = 30
+        disk.free_bytes = 30
         with self.assertRaises(OSError):
             log.write(request_records("b"), 0.0)
-        disk.room = None
+        disk.free_bytes = None
         log.write(request_records("c"), 0.0)
         reopened_log = SegmentLog(disk, SMALL_SEGMENTS)
         self.assertIn("torn tail", " ".join(damage.reason for _, damage in reopened_log.damaged_ranges))
@@ -509,16 +509,16 @@
     def test_failing_disk_is_reported_and_lost_records_become_a_gap(self) -> None:
         disk, results = SimulatedDisk(1), []
         committer = self.make_committer(disk)
-        disk.fail["sync"] = OSError(5, "Input/output error")
+        disk.errors_by_call["sync"] = OSError(5, "Input/output error")
         committer.start()
         committer.submit(request_records("a")[:2], results.append)
         self.wait_for_results(committer, 1, results)
-        calls = disk.calls
+        calls = disk.call_count
         committer.submit(request_records("b")[:2], results.append)
         self.wait_for_results(committer, 2, results)
         # During the backoff no disk call is made.
-        self.assertEqual((results, disk.calls), (["Input/output error"] * 2, calls))
-        disk.fail.clear()
+        self.assertEqual((results, disk.call_count), (["Input/output error"] * 2, calls))
+        disk.errors_by_call.clear()
         self.now_s += DISK_BACKOFF_S
         committer.submit(request_records("c")[:2], results.append)
         self.wait_for_results(committer, 3, results)
--- a/tests/test_journal_core.py
+++ b/tests/test_journal_core.py
@@ -244,7 +244,7 @@
     @gen_test(timeout=60)
     async def test_failing_disk_rejects_requests_and_is_retried_without_new_ones(self) -> None:
         self.start()
-        self.disk.fail["sync"] = OSError(5, "Input/output error")
+        self.disk.errors_by_call["sync"] = OSError(5, "Input/output error")
         self.submit("job-1")
         await self.wait_until(lambda: "job-1" in self.client.answers)
         self.submit("job-2")
@@ -257,7 +257,7 @@
             (sorted(reason_by_class), set(reason_by_class.values())),
             (["bill", "book"], {"journal: Input/output error"}),
         )
-        self.disk.fail.clear()
+        self.disk.errors_by_call.clear()
         repaired_at_s = time.monotonic()
         await self.wait_until(lambda: not self.journal.unavailable_reason())
         self.assertLess(time.monotonic() - repaired_at_s, 10 * DISK_BACKOFF_S)
@@ -272,11 +272,11 @@
         await self.wait_until(lambda: "job-0" in self.client.answers)
         self.disk.gate.clear()
         self.submit("job-1")  # its acceptance and its intent are in one write, which fails
-        self.disk.fail["append"] = OSError(28, "No space left on device")
+        self.disk.errors_by_call["append"] = OSError(28, "No space left on device")
         self.disk.gate.set()
         await self.wait_until(lambda: "job-1" in self.client.answers)
         self.assertIn(("job-1", 0), self.worker.delivered)
-        self.disk.fail.clear()
+        self.disk.errors_by_call.clear()
         log = SegmentLog(self.disk)  # opens the folder as it would be after a crash now
         restarted_journal = JournalWriter(log, "refuse", "again", lambda *_: None)
         restarted_journal.close()
