--- a/tests/test_golden_cli.py
+++ b/tests/test_golden_cli.py
@@ -10,7 +10,7 @@
 from concurrent.futures import ThreadPoolExecutor
 
 import pytest
-from goldenfiles import GOLDEN, compare_text
+from golden_compare import GOLDEN, compare_text
 from player import PATIENCE_S, ROOT
 
 from spanwing.cli.main import main
--- a/tests/test_golden_folder.py
+++ b/tests/test_golden_folder.py
@@ -10,7 +10,7 @@
 import shutil
 
 import pytest
-from goldenfiles import GOLDEN
+from golden_compare import GOLDEN
 from standins import Barrier, FaktorySpeaker, FaktoryWorker
 from test_golden_process import FRONTS, Running
 
--- a/tests/test_golden_log.py
+++ b/tests/test_golden_log.py
@@ -4,7 +4,7 @@
 
 import ast
 
-from goldenfiles import compare_text
+from golden_compare import compare_text
 from player import ROOT
 
 OF_THE_LOG = {"level", "rate_limited"}  # how it is told, not what
--- a/tests/test_golden_process.py
+++ b/tests/test_golden_process.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 import pytest
-from goldenfiles import compare_json, form
+from golden_compare import compare_json, form
 from player import PATIENCE_S, ROOT, Daemon, config, member
 from standins import Barrier, FaktorySpeaker, FaktoryWorker, HttpWorkers, read_http
 
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -14,7 +14,7 @@
 import msgspec
 import pytest
 import tomli_w
-from goldenfiles import GOLDEN, compare_text
+from golden_compare import GOLDEN, compare_text
 
 from spanwing.cli.main import main
 from spanwing.config import PlatformFile, load_configuration
