--- a/tests/player.py
+++ b/tests/player.py
@@ -48,7 +48,7 @@
 
 from measure.daemons import ROOT, Program  # noqa: F401 - ROOT for other tests
 
-PATIENCE_S = 20.0  # what never comes fails the test after this; nothing is measured against it
+WAIT_TIMEOUT_S = 20.0  # what never comes fails the test after this; nothing is measured against it
 SETTINGS = {
     "areas": ["a"],
     "balancers": 1,
@@ -95,7 +95,7 @@
     @contextmanager
     def patience(self):
         """A daemon that never says or ends what a test waits for is killed, and the test fails."""
-        timer = threading.Timer(PATIENCE_S, self.process.kill)
+        timer = threading.Timer(WAIT_TIMEOUT_S, self.process.kill)
         timer.start()
         try:
             yield
@@ -103,7 +103,7 @@
             timer.cancel()
 
     def connect(self, front: str) -> socket.socket:
-        return socket.create_connection(self.addresses[front], PATIENCE_S)
+        return socket.create_connection(self.addresses[front], WAIT_TIMEOUT_S)
 
     def wait(self) -> tuple[int, str]:
         """The exit status and what was printed last."""
@@ -215,7 +215,7 @@
 
     def do_listen(self, name: str) -> None:
         self.sockets[name] = socket.create_server(("127.0.0.1", 0))
-        self.sockets[name].settimeout(PATIENCE_S)
+        self.sockets[name].settimeout(WAIT_TIMEOUT_S)
         self.words[name] = str(self.sockets[name].getsockname()[1])
 
     def do_held(self) -> None:
@@ -296,7 +296,7 @@
 
     def do_accept(self, name: str, listener: str) -> None:
         self.sockets[name] = self.sockets[listener].accept()[0]
-        self.sockets[name].settimeout(PATIENCE_S)
+        self.sockets[name].settimeout(WAIT_TIMEOUT_S)
 
     def do_signal(self, name: str) -> None:
         self.daemon.process.send_signal(getattr(signal, f"SIG{name}"))
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -7,7 +7,7 @@
 import threading
 from collections import Counter
 
-from player import PATIENCE_S, Daemon
+from player import WAIT_TIMEOUT_S, Daemon
 
 FATES = {"done": "done", "failing": "failed"}
 
@@ -139,7 +139,7 @@
             self.left -= 1
             if self.left <= 0:
                 self.opened.set()
-        self.opened.wait(PATIENCE_S)
+        self.opened.wait(WAIT_TIMEOUT_S)
 
 
 def figures(daemon: Daemon) -> dict[str, int]:
--- a/tests/test_balancers.py
+++ b/tests/test_balancers.py
@@ -17,7 +17,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-from player import PATIENCE_S, ROOT, Daemon, config, member
+from player import WAIT_TIMEOUT_S, ROOT, Daemon, config, member
 from standins import FaktorySpeaker
 
 from measure.balancers import PROTOCOLS, Backend, Judge, Seen, agent_reply
@@ -31,7 +31,7 @@
 
 
 def ask(place: tuple[str, int], data: bytes) -> bytes:
-    with socket.create_connection(place, PATIENCE_S) as asked:
+    with socket.create_connection(place, WAIT_TIMEOUT_S) as asked:
         asked.sendall(data)
         answer = b""
         try:
@@ -76,7 +76,7 @@
         return "".join(f'[{name}]\nlisten = "{address}"\n' for name, address in listeners.items())
 
     def until(self, holds, what: str) -> None:
-        end = time.monotonic() + PATIENCE_S
+        end = time.monotonic() + WAIT_TIMEOUT_S
         while not holds():
             self.assertLess(time.monotonic(), end, what)
             time.sleep(0.02)
@@ -112,7 +112,7 @@
         agent = daemon.addresses["agent_check"]
         self.until(lambda: ask(agent, b"").startswith(b"ready"), "ready")
         with daemon.connect("clients") as kept:
-            kept.settimeout(PATIENCE_S)
+            kept.settimeout(WAIT_TIMEOUT_S)
             file = kept.makefile("rb")
 
             def up() -> bytes:
@@ -147,7 +147,7 @@
         fronts = self.table(agent_check="127.0.0.1:0") + f'[admin]\nsocket = "{path}"\n'
         daemon = self.daemon(fronts)
         with daemon.connect("clients") as waiting:
-            waiting.settimeout(PATIENCE_S)
+            waiting.settimeout(WAIT_TIMEOUT_S)
             waiting.sendall(b"POST /status-read HTTP/1.1\r\nX-Call-Id: job-1\r\nContent-Length: 0\r\n\r\n")
             self.until(lambda: client.send_command(path, do="status")["owed"] == 1, "taken")
             client.send_command(path, do="drain")
@@ -225,7 +225,7 @@
                         pass  # it has been closed for another
                 for each in crowd:
                     with each:
-                        each.settimeout(PATIENCE_S)
+                        each.settimeout(WAIT_TIMEOUT_S)
                         try:
                             while each.recv(1000):  # every one is answered or closed, none stays
                                 pass
@@ -244,7 +244,7 @@
         daemon = self.daemon(fronts)
         for data in (b"status-read\n", b"nobody\n", b""):
             with daemon.connect("agent_check") as asked:
-                asked.settimeout(PATIENCE_S)
+                asked.settimeout(WAIT_TIMEOUT_S)
                 asked.sendall(data)
                 asked.shutdown(socket.SHUT_WR)
                 line = asked.makefile().readline()
@@ -469,17 +469,17 @@
                 env={"PATH": os.environ["PATH"]},
             )
 
-        lines = run("json", "0").communicate(timeout=PATIENCE_S)[1].decode().splitlines()
+        lines = run("json", "0").communicate(timeout=WAIT_TIMEOUT_S)[1].decode().splitlines()
         first, second = map(json.loads, lines)
         self.assertEqual(
             (first["event"], first["state"], first["name"], first["reasons"]),
             ("health", "short", "n1", ["a b", "c"]),
         )
         self.assertEqual((second["event"], second["level"]), ("plain text", "warning"))
-        line = run("keys", "0").communicate(timeout=PATIENCE_S)[1].decode().splitlines()[0]
+        line = run("keys", "0").communicate(timeout=WAIT_TIMEOUT_S)[1].decode().splitlines()[0]
         self.assertRegex(line, r'^timestamp=\S+ level=info event=health .*reasons="a b,c"')
         unread = run("json", "3000")  # 6 MB into a pipe that nobody reads: it ends all the same
-        self.assertEqual(unread.wait(PATIENCE_S), 0)
+        self.assertEqual(unread.wait(WAIT_TIMEOUT_S), 0)
         unread.stderr.close()
 
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -12,7 +12,7 @@
 import unittest
 from pathlib import Path
 
-from player import PATIENCE_S, ROOT, Daemon, config, member
+from player import WAIT_TIMEOUT_S, ROOT, Daemon, config, member
 
 
 def spanwing(*arguments: str, **environment: str) -> subprocess.CompletedProcess:
@@ -22,7 +22,7 @@
         cwd=ROOT,
         capture_output=True,
         text=True,
-        timeout=PATIENCE_S * 2,
+        timeout=WAIT_TIMEOUT_S * 2,
         env={"PATH": os.environ["PATH"], **environment},
     )
 
@@ -59,7 +59,7 @@
     def http_get(self, target: str) -> tuple[int, str]:
         """Sends a GET request to the admin socket; returns the status and the body."""
         with socket.socket(socket.AF_UNIX) as connection:
-            connection.settimeout(PATIENCE_S)
+            connection.settimeout(WAIT_TIMEOUT_S)
             connection.connect(self.socket)
             connection.sendall(f"GET {target} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
             head, _, body = connection.makefile("rb").read().decode().partition("\r\n\r\n")
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 import numpy as np
-from player import PATIENCE_S, ROOT
+from player import WAIT_TIMEOUT_S, ROOT
 
 from spanwing.config_errors import ConfigurationError, ErrorCollector
 from spanwing.experiment.cell import apply_changes
@@ -76,7 +76,7 @@
             stdout=subprocess.DEVNULL,
             env={"PATH": os.environ["PATH"]},
         )
-        give_up_at_s = time.monotonic() + PATIENCE_S
+        give_up_at_s = time.monotonic() + WAIT_TIMEOUT_S
         while len(list(interrupted.glob("cells/*.json"))) < 2 and time.monotonic() < give_up_at_s:
             time.sleep(0.01)
         os.killpg(process.pid, signal.SIGKILL)
--- a/tests/test_golden_cli.py
+++ b/tests/test_golden_cli.py
@@ -11,7 +11,7 @@
 
 import pytest
 from golden_compare import GOLDEN, compare_text
-from player import PATIENCE_S, ROOT
+from player import WAIT_TIMEOUT_S, ROOT
 
 from spanwing.cli.main import main
 
@@ -56,7 +56,7 @@
         cwd=ROOT,
         capture_output=True,
         text=True,
-        timeout=PATIENCE_S,
+        timeout=WAIT_TIMEOUT_S,
         env={
             "PATH": os.environ["PATH"],
             "SPANWING_FRONTS": MISSING_OPERATOR_FILE,
--- a/tests/test_golden_process.py
+++ b/tests/test_golden_process.py
@@ -20,7 +20,7 @@
 
 import pytest
 from golden_compare import compare_json, form
-from player import PATIENCE_S, ROOT, Daemon, config, member
+from player import WAIT_TIMEOUT_S, ROOT, Daemon, config, member
 from standins import Barrier, FaktorySpeaker, FaktoryWorker, HttpWorkers, read_http
 
 FRONTS = ("health", "agent_check", "feedback", "grpc", "faktory")
@@ -83,7 +83,7 @@
         one that the journal knows."""
         FaktoryWorker(self.daemon, "f0", 1, ["schedule-apply"], Barrier(0))
         pushed = FaktorySpeaker(self.daemon)
-        pushed.socket.settimeout(PATIENCE_S)
+        pushed.socket.settimeout(WAIT_TIMEOUT_S)
         for text, reply in (("done", "+OK"), ("failing", "-ERR failed")):
             given = {"jid": f"job-{text}", "jobtype": "schedule-apply", "queue": "schedule-apply"}
             given |= {"args": [text], "custom": {"answer": "outcome"}}
@@ -109,7 +109,7 @@
     def page(self, target: str) -> tuple[str, list[str]]:
         """A page of the journal, on the admin socket: the first line of its head, and its own lines."""
         with socket.socket(socket.AF_UNIX) as asked:
-            asked.settimeout(PATIENCE_S)
+            asked.settimeout(WAIT_TIMEOUT_S)
             asked.connect(self.admin)
             asked.sendall(f"GET {target} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
             head, _, body = asked.makefile("rb").read().decode().partition("\r\n\r\n")
@@ -117,7 +117,7 @@
 
     def ask(self, **what) -> dict:
         with socket.socket(socket.AF_UNIX) as asked:
-            asked.settimeout(PATIENCE_S)
+            asked.settimeout(WAIT_TIMEOUT_S)
             asked.connect(self.admin)
             asked.sendall(json.dumps(what).encode() + b"\n")
             return json.loads(asked.makefile("rb").readline())
@@ -128,7 +128,7 @@
             cwd=ROOT,
             text=True,
             capture_output=True,
-            timeout=PATIENCE_S,
+            timeout=WAIT_TIMEOUT_S,
             env={"PATH": os.environ["PATH"], "SPANWING_ADMIN": self.admin},
         )
         assert done.returncode == 0, done.stderr
--- a/tests/test_grpc.py
+++ b/tests/test_grpc.py
@@ -15,7 +15,7 @@
 from h2.settings import SettingCodes
 from hypothesis import given
 from hypothesis import strategies as st
-from player import PATIENCE_S, Daemon, config, member
+from player import WAIT_TIMEOUT_S, Daemon, config, member
 
 from spanwing.frontends.balancers.grpc_health import (
     CHECK_PATH,
@@ -219,17 +219,19 @@
         host, port = daemon.ready().addresses["grpc"]
         with grpc.insecure_channel(f"{host}:{port}") as channel:
             stub = health_pb2_grpc.HealthStub(channel)
-            watch = stub.Watch(health_pb2.HealthCheckRequest(service="schedule-apply"), timeout=PATIENCE_S)
+            watch = stub.Watch(
+                health_pb2.HealthCheckRequest(service="schedule-apply"), timeout=WAIT_TIMEOUT_S
+            )
             while next(watch).status != health_pb2.HealthCheckResponse.SERVING:
                 pass
             asked = health_pb2.HealthCheckRequest()
-            self.assertEqual(stub.Check(asked, timeout=PATIENCE_S).status, 1)
+            self.assertEqual(stub.Check(asked, timeout=WAIT_TIMEOUT_S).status, 1)
             with self.assertRaises(grpc.RpcError) as unknown:
-                stub.Check(health_pb2.HealthCheckRequest(service="nobody"), timeout=PATIENCE_S)
+                stub.Check(health_pb2.HealthCheckRequest(service="nobody"), timeout=WAIT_TIMEOUT_S)
             self.assertEqual(unknown.exception.code(), grpc.StatusCode.NOT_FOUND)
             daemon.process.terminate()
             self.assertEqual(next(watch).status, health_pb2.HealthCheckResponse.NOT_SERVING)
-            self.assertEqual(stub.Check(asked, timeout=PATIENCE_S).status, 2)
+            self.assertEqual(stub.Check(asked, timeout=WAIT_TIMEOUT_S).status, 2)
         self.assertEqual(daemon.wait()[0], 0)
         self.assertNotIn("Traceback", daemon.said())
 
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -15,7 +15,7 @@
 from unittest import mock
 
 from conftest import Driver, settings
-from player import PATIENCE_S, Daemon, config, member
+from player import WAIT_TIMEOUT_S, Daemon, config, member
 from standins import figures, thread
 
 from spanwing.core.clock import Clock
@@ -74,7 +74,7 @@
             time.sleep(0.1)
         is_done.set()
         for each in client_threads:
-            each.join(PATIENCE_S)
+            each.join(WAIT_TIMEOUT_S)
         for each in idle + stalled:
             each.close()
         self.assertLess(max(response_times_s), 1.0)
--- a/tests/test_mix.py
+++ b/tests/test_mix.py
@@ -5,7 +5,7 @@
 import unittest
 from collections import Counter
 
-from player import PATIENCE_S, Daemon, config, member
+from player import WAIT_TIMEOUT_S, Daemon, config, member
 from standins import Barrier, FaktoryWorker, HttpWorkers, ask_faktory, ask_http, figures, thread
 
 CLASSES = ("status-read", "schedule-apply", "setpoint-push")
@@ -34,7 +34,7 @@
             for number, (behaviour, slots, budget_ms) in enumerate(MIX)
         ]
         for each in clients:
-            each.join(PATIENCE_S)
+            each.join(WAIT_TIMEOUT_S)
         return outcomes
 
     def check_statistics(self, daemon: Daemon, listed: int) -> None:
--- a/tests/test_termination_races.py
+++ b/tests/test_termination_races.py
@@ -20,7 +20,7 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from player import PATIENCE_S, SETTINGS, Daemon, config, member
+from player import WAIT_TIMEOUT_S, SETTINGS, Daemon, config, member
 from standins import FaktorySpeaker, read_http
 from tornado.concurrent import Future
 
@@ -55,7 +55,7 @@
             self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer_bytes)
         self.listener.bind(("127.0.0.1", 0))
         self.listener.listen(backlog)
-        self.listener.settimeout(PATIENCE_S)
+        self.listener.settimeout(WAIT_TIMEOUT_S)
         self.port = self.listener.getsockname()[1]
         self.case = case
         case.addCleanup(self.listener.close)
@@ -72,7 +72,7 @@
         except BlockingIOError:
             return True
         finally:
-            self.listener.settimeout(PATIENCE_S)
+            self.listener.settimeout(WAIT_TIMEOUT_S)
 
     def fill_backlog(self) -> int:
         """Fills the backlog (created with 0) with connections and returns their number.
@@ -95,7 +95,7 @@
 
     def wait_for_pending_connect(self) -> None:
         """Waits for a connection that was begun and is not established, because the backlog is full."""
-        port_suffix, deadline_s = f":{self.port:04X}", time.monotonic() + PATIENCE_S
+        port_suffix, deadline_s = f":{self.port:04X}", time.monotonic() + WAIT_TIMEOUT_S
         while not any(
             remote.endswith(port_suffix) and state == SYN_SENT
             for remote, state in (
@@ -110,7 +110,7 @@
 
     def __init__(self, case: unittest.TestCase, sock: socket.socket) -> None:
         self.socket = sock
-        sock.settimeout(PATIENCE_S)
+        sock.settimeout(WAIT_TIMEOUT_S)
         self.file = sock.makefile("rb")
         case.addCleanup(self.close)
 
@@ -501,13 +501,13 @@
             asyncio.ensure_future(self.results.get()),
             asyncio.ensure_future(asyncio.to_thread(self.listener.accept)),
         )
-        await asyncio.wait({ended, accepted}, timeout=PATIENCE_S, return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait({ended, accepted}, timeout=WAIT_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
         self.assertFalse(ended.done())
         connection = await accepted
         self.assertIn("DELETE /jobs/job-1 ", (await asyncio.to_thread(connection.read_message))[0])
         self.assertFalse(ended.done())
         connection.socket.sendall(response)
-        self.assertEqual(await asyncio.wait_for(ended, PATIENCE_S), (result, False))
+        self.assertEqual(await asyncio.wait_for(ended, WAIT_TIMEOUT_S), (result, False))
 
     async def test_202_on_its_way_is_read_and_its_job_is_deleted(self) -> None:
         connection = await self.deliver_sent()
@@ -543,20 +543,20 @@
         self.http_worker.cancel("job-1", 0, "cancelled")
         await self.wait_for_cancel()
         connection.respond(503, X_Rejected="1")
-        self.assertEqual(await asyncio.wait_for(self.results.get(), PATIENCE_S), ("full", False))
+        self.assertEqual(await asyncio.wait_for(self.results.get(), WAIT_TIMEOUT_S), ("full", False))
 
     async def test_worker_that_closes_within_its_response_has_ended_the_attempt(self) -> None:
         connection = await self.deliver_sent()
         connection.socket.sendall(b"HTTP/1.1 20")
         connection.close()
-        self.assertEqual(await asyncio.wait_for(self.results.get(), PATIENCE_S), ("reset", False))
+        self.assertEqual(await asyncio.wait_for(self.results.get(), WAIT_TIMEOUT_S), ("reset", False))
         self.assertTrue(self.listener.has_no_connection())
 
     async def test_worker_that_does_not_respond_is_notified_by_the_close_of_the_connection(self) -> None:
         connection = await self.deliver_sent()
         self.http_worker.cancel("job-1", 0, "cancelled")
         self.assertEqual(await asyncio.to_thread(connection.read_to_end), b"")
-        self.assertEqual(await asyncio.wait_for(self.results.get(), PATIENCE_S), ("cancelled", False))
+        self.assertEqual(await asyncio.wait_for(self.results.get(), WAIT_TIMEOUT_S), ("cancelled", False))
         self.assertTrue(self.listener.has_no_connection())
         self.assertEqual(self.pool.descriptors.open_count, 0)
 
@@ -567,11 +567,11 @@
         for is_idempotent in (True, False):
             with failing:
                 await self.deliver(is_idempotent)
-                result = await asyncio.wait_for(self.results.get(), PATIENCE_S)
+                result = await asyncio.wait_for(self.results.get(), WAIT_TIMEOUT_S)
             self.assertEqual(result, ("unreachable", True))
             self.assertEqual(self.pool.descriptors.open_count, 0)
         for _ in range(MAX_CONNECTIONS):
-            await asyncio.wait_for(self.pool.connection_slots.acquire(), PATIENCE_S)
+            await asyncio.wait_for(self.pool.connection_slots.acquire(), WAIT_TIMEOUT_S)
 
 
 class NoFreeSlotTests(HttpWorkerTestCase):
@@ -583,7 +583,7 @@
             await self.pool.connection_slots.acquire()
 
     async def check_not_sent(self) -> None:
-        self.assertEqual(await asyncio.wait_for(self.results.get(), PATIENCE_S), ("moot", True))
+        self.assertEqual(await asyncio.wait_for(self.results.get(), WAIT_TIMEOUT_S), ("moot", True))
         self.pool.connection_slots.release()  # the ended attempt must not use the free slot
         await self.pool.connection_slots.acquire()
         self.assertTrue(self.listener.has_no_connection())
@@ -601,7 +601,7 @@
             await self.deliver(is_idempotent)
             self.may_send = False
             self.pool.connection_slots.release()
-            self.assertEqual(await asyncio.wait_for(self.results.get(), PATIENCE_S), ("moot", True))
+            self.assertEqual(await asyncio.wait_for(self.results.get(), WAIT_TIMEOUT_S), ("moot", True))
             self.assertTrue(self.listener.has_no_connection())
             await self.pool.connection_slots.acquire()
 
@@ -620,7 +620,7 @@
                 int(headers["x-budget-ms"]), remaining_ms - (time.monotonic() - started_s) * 1000.0
             )
             connection.respond(200, b"served")
-            self.assertEqual(await asyncio.wait_for(self.results.get(), PATIENCE_S), ("ok", False))
+            self.assertEqual(await asyncio.wait_for(self.results.get(), WAIT_TIMEOUT_S), ("ok", False))
             await self.pool.connection_slots.acquire()
 
     async def test_probe_is_not_sent_to_a_worker_that_started_draining_while_it_waited(self) -> None:
@@ -630,7 +630,7 @@
         await asyncio.sleep(0.05)
         self.http_worker.start_draining()
         self.pool.connection_slots.release()
-        await asyncio.wait_for(probe_results.get(), PATIENCE_S)
+        await asyncio.wait_for(probe_results.get(), WAIT_TIMEOUT_S)
         self.assertTrue(self.listener.has_no_connection())
         await self.pool.connection_slots.acquire()
 
@@ -676,7 +676,7 @@
                 self.may_send = False
                 received = await asyncio.to_thread(connection.read_to_end)
                 self.assertEqual(received[-1:], FILL_BYTES[-1:])
-                self.assertEqual(await asyncio.wait_for(self.results.get(), PATIENCE_S), ("moot", True))
+                self.assertEqual(await asyncio.wait_for(self.results.get(), WAIT_TIMEOUT_S), ("moot", True))
                 self.assertEqual(self.pool.descriptors.open_count, 0)
 
     async def test_buffered_bytes_are_not_sent_to_a_worker_that_starts_draining(self) -> None:
@@ -686,7 +686,7 @@
                 self.http_worker.start_draining()
                 received = await asyncio.to_thread(connection.read_to_end)
                 self.assertEqual(received[-1:], FILL_BYTES[-1:])
-                self.assertEqual(await asyncio.wait_for(self.results.get(), PATIENCE_S), ("moot", True))
+                self.assertEqual(await asyncio.wait_for(self.results.get(), WAIT_TIMEOUT_S), ("moot", True))
                 self.http_worker.is_draining = False
 
     async def test_bytes_that_may_be_sent_are_sent_once_there_is_room(self) -> None:
@@ -694,7 +694,7 @@
         while (await asyncio.to_thread(connection.socket.recv, len(FILL_BYTES))).strip(b"0") != b"\n":
             pass
         connection.respond(200, b"served")
-        self.assertEqual(await asyncio.wait_for(self.results.get(), PATIENCE_S), ("ok", False))
+        self.assertEqual(await asyncio.wait_for(self.results.get(), WAIT_TIMEOUT_S), ("ok", False))
 
 
 class FaktoryFetchTests(unittest.IsolatedAsyncioTestCase):
@@ -713,9 +713,9 @@
             )
             faktory_worker.deliver(delivery, Listener())
         faktory_worker.post(FetchRequested(("look",), reply))
-        ended = await asyncio.wait_for(results.get(), PATIENCE_S)
+        ended = await asyncio.wait_for(results.get(), WAIT_TIMEOUT_S)
         self.assertEqual((ended.request, ended.result, ended.is_unsent), ("job-1", "moot", True))
-        self.assertIn(b"job-2", (await asyncio.wait_for(reply, PATIENCE_S))[0])
+        self.assertIn(b"job-2", (await asyncio.wait_for(reply, WAIT_TIMEOUT_S))[0])
 
 
 class UnsentAttemptTests(DaemonTestCase):
