--- a/tests/player.py
+++ b/tests/player.py
@@ -84,16 +84,16 @@
 class Daemon(Program):
     """One started program, which is waited for with patience."""
 
-    def ready(self) -> Daemon:
+    def wait_until_ready(self) -> Daemon:
         """Wait for the line that says the daemon takes clients."""
-        with self.patience():
+        with self.kill_on_timeout():
             if not self.serving():
                 raise AssertionError(f"the daemon did not start: {self.said()}")
-        self.small = self.resident()
+        self.initial_resident_mb = self.resident()
         return self
 
     @contextmanager
-    def patience(self):
+    def kill_on_timeout(self):
         """A daemon that never says or ends what a test waits for is killed, and the test fails."""
         timer = threading.Timer(WAIT_TIMEOUT_S, self.process.kill)
         timer.start()
@@ -107,7 +107,7 @@
 
     def wait(self) -> tuple[int, str]:
         """The exit status and what was printed last."""
-        with self.patience():
+        with self.kill_on_timeout():
             out = self.process.stdout.read()
             return self.process.wait(), out
 
@@ -232,7 +232,7 @@
         self.daemon = Daemon(self.config, self.fronts, command=self.command)
 
     def do_ready(self) -> None:
-        self.daemon.ready()
+        self.daemon.wait_until_ready()
 
     def do_start(self) -> None:
         self.do_launch()
@@ -264,7 +264,7 @@
             self.sockets[name].sendall(bytes(60000))
 
     def do_grown(self, most: str) -> None:
-        grown = self.daemon.resident() - self.daemon.small
+        grown = self.daemon.resident() - self.daemon.initial_resident_mb
         assert grown < float(most), f"{grown:.1f} MB more"
 
     def do_rewrite(self) -> None:
@@ -272,7 +272,7 @@
 
     def do_said(self, *text: str) -> None:
         """Wait for a line on standard error: a signal is an event that no socket tells."""
-        with self.daemon.patience():
+        with self.daemon.kill_on_timeout():
             while " ".join(text) not in self.daemon.said():
                 assert self.daemon.process.poll() is None, self.daemon.said()
                 time.sleep(0.01)
--- a/tests/test_balancers.py
+++ b/tests/test_balancers.py
@@ -67,7 +67,7 @@
             worker = socket.create_server(("127.0.0.1", 0))
             self.addCleanup(worker.close)
             members = [member("w1", worker.getsockname()[1])]
-        started = Daemon({**config(members, **settings), "name": name}, fronts).ready()
+        started = Daemon({**config(members, **settings), "name": name}, fronts).wait_until_ready()
         self.addCleanup(started.close)
         self.addCleanup(lambda: self.assertNotIn("Traceback", started.said()))
         return started
@@ -237,7 +237,7 @@
             stop.set()
             clients.join()
         self.assertTrue(served and all(served))
-        self.assertLess(daemon.resident() - daemon.small, 16)
+        self.assertLess(daemon.resident() - daemon.initial_resident_mb, 16)
 
     def test_half_closed_and_asking_checks(self) -> None:
         fronts = '[agent_check]\nlisten = "127.0.0.1:0"\nasks = true\nmaxconn = true\n'
@@ -329,7 +329,7 @@
 
         daemons = {name: start(name) for name in names}  # none serves before a majority is there
         for each in daemons.values():
-            each.ready()
+            each.wait_until_ready()
 
         def state(name: str) -> dict:
             return client.send_command(str(self.folder / name), do="status")
@@ -339,7 +339,7 @@
         self.assertEqual(state("b")["drained_by"], ["store"])
         daemons["b"].process.kill()
         daemons["b"].process.wait()
-        daemons["b"] = start("b").ready()
+        daemons["b"] = start("b").wait_until_ready()
         self.until(lambda: state("b")["state"] in ("draining", "drained"), "the order outlives a restart")
         client.send_command(str(self.folder / "c"), do="undrain", member="b")
         self.until(lambda: state("b")["state"] in ("weighted", "ready"), "b serves again")
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -42,7 +42,7 @@
             f'[admin]\nsocket = "{self.socket}"\n[agent_check]\nlisten = "127.0.0.1:0"\n'
             f"[balancers]\nnotice_ms = 200\n{more_tables}"
         )
-        daemon = Daemon(config(self.members), operator_file).ready()
+        daemon = Daemon(config(self.members), operator_file).wait_until_ready()
         self.addCleanup(daemon.close)
         return daemon
 
--- a/tests/test_golden_process.py
+++ b/tests/test_golden_process.py
@@ -62,7 +62,9 @@
         self.workers = HttpWorkers(1, 1)
         platform = front == "platform"
         about = config([member("w0", self.workers.ports[0])] if platform else [])
-        self.daemon = self.workers.daemon = Daemon({**about, "management": "127.0.0.1:0"}, fronts).ready()
+        self.daemon = self.workers.daemon = Daemon(
+            {**about, "management": "127.0.0.1:0"}, fronts
+        ).wait_until_ready()
         if platform:
             self.run_jobs()
         elif front == "faktory":
@@ -93,7 +95,7 @@
 
     def until_ready(self) -> None:
         """A worker that failed was set aside, and comes back."""
-        with self.daemon.patience():
+        with self.daemon.kill_on_timeout():
             while self.ask(do="status")["state"] != "ready":
                 time.sleep(0.02)
 
@@ -137,7 +139,7 @@
     def until_counters(self) -> dict:
         """What SIGUSR1 has it print."""
         self.daemon.process.send_signal(signal.SIGUSR1)
-        with self.daemon.patience():
+        with self.daemon.kill_on_timeout():
             return self.printed()
 
     def printed(self) -> dict:
@@ -221,7 +223,7 @@
         ]
     shown["SIGUSR1"] = form(running.until_counters())
     running.daemon.process.send_signal(signal.SIGTERM)
-    with running.daemon.patience():
+    with running.daemon.kill_on_timeout():
         shown["SIGTERM"] = form(running.printed())
     shown["exit"] = running.daemon.wait()[0]
     return shown
--- a/tests/test_grpc.py
+++ b/tests/test_grpc.py
@@ -216,7 +216,7 @@
         self.addCleanup(worker.close)
         daemon = Daemon(config([member("w1", worker.getsockname()[1])]), '[grpc]\nlisten = "127.0.0.1:0"\n')
         self.addCleanup(daemon.close)
-        host, port = daemon.ready().addresses["grpc"]
+        host, port = daemon.wait_until_ready().addresses["grpc"]
         with grpc.insecure_channel(f"{host}:{port}") as channel:
             stub = health_pb2_grpc.HealthStub(channel)
             watch = stub.Watch(
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -92,7 +92,7 @@
         async def run():
             workers = Workers((0.0, 0.01), 1)
             ((name, port),) = await workers.start(1)
-            daemon = await asyncio.to_thread(Daemon(config([member(name, port)]), "").ready)
+            daemon = await asyncio.to_thread(Daemon(config([member(name, port)]), "").wait_until_ready)
             self.addCleanup(daemon.close)
             host, port = daemon.addresses["clients"]
             completed = await asyncio.to_thread(
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -46,7 +46,7 @@
             "management": "127.0.0.1:0",
             "limits": {"sockets": 2400, "memory_mb": 400},
         }
-        daemon = Daemon(daemon_config, "").ready()
+        daemon = Daemon(daemon_config, "").wait_until_ready()
         self.addCleanup(daemon.close)
         idle = [daemon.connect("clients") for _ in range(1000)]
         stalled = [daemon.connect("management") for _ in range(20)]
@@ -85,7 +85,7 @@
 
         When it continues, their input is unread and none of the connections may be closed for being slow yet.
         """
-        daemon = Daemon({**config(), "management": "127.0.0.1:0"}, "").ready()
+        daemon = Daemon({**config(), "management": "127.0.0.1:0"}, "").wait_until_ready()
         self.addCleanup(daemon.close)
         daemon.process.send_signal(signal.SIGSTOP)
         stalled = [daemon.connect("management") for _ in range(40)]
@@ -103,7 +103,7 @@
 
         The slow request arrives byte by byte, on a connection that has carried a request before.
         """
-        daemon = Daemon({**config(), "limits": {"sockets": 100}}, "").ready()
+        daemon = Daemon({**config(), "limits": {"sockets": 100}}, "").wait_until_ready()
         self.addCleanup(daemon.close)
         request = b"GET /up HTTP/1.1\r\n\r\n"
         with daemon.connect("clients") as slow:
@@ -127,7 +127,7 @@
         self.addCleanup(worker.close)
         daemon = Daemon(
             {**config([member("w1", worker.getsockname()[1])]), "management": "127.0.0.1:0"}, ""
-        ).ready()
+        ).wait_until_ready()
         self.addCleanup(daemon.close)
         self.assertEqual(figures(daemon)["active"], 0)
         waiting = daemon.connect("clients")
--- a/tests/test_mix.py
+++ b/tests/test_mix.py
@@ -51,14 +51,14 @@
         members = [member(f"w{n}", port) for n, port in enumerate(workers.ports)]
         daemon = Daemon({**config(members), "management": "127.0.0.1:0"}, "")
         self.addCleanup(daemon.close)
-        workers.daemon = daemon.ready()
+        workers.daemon = daemon.wait_until_ready()
         self.assertEqual(self.run_mix(daemon, ask_http), EXPECTED)
         self.check_statistics(daemon, WORKERS)
         self.assertEqual(figures(daemon)["tries"], workers.tried)
 
     def test_faktory(self) -> None:
         settings = {**config(), "management": "127.0.0.1:0"}
-        daemon = Daemon(settings, '[faktory]\nlisten = "127.0.0.1:0"\n').ready()
+        daemon = Daemon(settings, '[faktory]\nlisten = "127.0.0.1:0"\n').wait_until_ready()
         self.addCleanup(daemon.close)
         barrier = Barrier(SENT)
         for number in range(WORKERS):
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -105,7 +105,7 @@
         fronts = f'[proxy]\nfronts = ["clients", "faktory", "health"]\nsources = ["{sources}"]\n' + "".join(
             f'[{name}]\nlisten = "127.0.0.1:0"\n' for name in ("health", "faktory")
         )
-        daemon = Daemon(config([member("w1", worker.getsockname()[1])]), fronts).ready()
+        daemon = Daemon(config([member("w1", worker.getsockname()[1])]), fronts).wait_until_ready()
         self.addCleanup(daemon.close)
         return daemon
 
--- a/tests/test_termination_races.py
+++ b/tests/test_termination_races.py
@@ -215,7 +215,7 @@
         daemon_config["settings"]["classes"][2]["window_ms"] = DEDUPLICATION_WINDOW_MS
         self.daemon = Daemon(daemon_config, fronts, command=command)
         self.addCleanup(self.stop)
-        return self.daemon.ready()
+        return self.daemon.wait_until_ready()
 
     def stop(self) -> None:
         """Stops the daemon and checks its log."""
@@ -235,7 +235,7 @@
 
     def wait_for_counter(self, name: str, count: int) -> dict[str, int]:
         """Reads the counters until this one has reached count, and returns them all."""
-        with self.daemon.patience():
+        with self.daemon.kill_on_timeout():
             while (counters := self.read_counters()).get(name, 0) < count:
                 pass
         return counters
@@ -371,7 +371,7 @@
         """The daemon is stopped by a signal while the client sends and disconnects."""
         worker = ListenerStandIn(self)
         self.start(member("w1", worker.port))
-        with self.daemon.patience():
+        with self.daemon.kill_on_timeout():
             while b" 200 " not in self.read_up_response():
                 pass
         self.daemon.process.send_signal(signal.SIGSTOP)
@@ -861,7 +861,7 @@
         worker.respond(200, bytes(60_000))
         self.wait_for_counter("answered", 1)
         self.daemon.process.send_signal(signal.SIGTERM)
-        with self.daemon.patience():
+        with self.daemon.kill_on_timeout():
             while True:
                 with self.daemon.connect("clients") as connection:
                     connection.sendall(b"GET /up HTTP/1.1\r\n\r\n")
@@ -878,7 +878,7 @@
         os.mkfifo(gate)
         self.start(command=(INSTRUMENTED_DAEMON_SCRIPT, f"end={gate}"))
         self.daemon.process.send_signal(signal.SIGTERM)
-        with self.daemon.patience():
+        with self.daemon.kill_on_timeout():
             while "ending" not in self.daemon.process.stdout.readline():
                 pass
         with self.assertRaises(ConnectionRefusedError):
