--- a/tests/standins.py
+++ b/tests/standins.py
@@ -22,7 +22,7 @@
     return first, headers, file.read(int(headers.get("content-length", 0)))
 
 
-def thread(work, *values) -> threading.Thread:
+def start_thread(work, *values) -> threading.Thread:
     started = threading.Thread(target=work, args=values, daemon=True)
     started.start()
     return started
@@ -38,12 +38,12 @@
         self.daemon: Daemon | None = None
         self.tried = 0
         for number, each in enumerate(self.sockets):
-            thread(self.accept, f"w{number}", each)
+            start_thread(self.accept, f"w{number}", each)
 
     def accept(self, name: str, listener: socket.socket) -> None:
         while True:
             try:
-                thread(self.serve, name, listener.accept()[0])
+                start_thread(self.serve, name, listener.accept()[0])
             except OSError:
                 return
 
@@ -60,7 +60,7 @@
                 self.tried += taken
                 connection.sendall(b"HTTP/1.1 %d X\r\nContent-Length: 0\r\n\r\n" % (202 if taken else 200))
                 if taken:
-                    thread(self.fate, name, headers["x-call-id"], body.decode())
+                    start_thread(self.fate, name, headers["x-call-id"], body.decode())
 
     def fate(self, name: str, job: str, text: str) -> None:
         self.barrier.come()
@@ -110,7 +110,7 @@
             FaktorySpeaker(daemon, wid=name, labels=["zone:a", "kind:big"]) for _ in range(threads)
         ]
         for each in self.speakers:
-            thread(self.work, each)
+            start_thread(self.work, each)
 
     def work(self, speaker: FaktorySpeaker) -> None:
         try:
@@ -142,7 +142,7 @@
         self.opened.wait(WAIT_TIMEOUT_S)
 
 
-def figures(daemon: Daemon) -> dict[str, int]:
+def read_stats(daemon: Daemon) -> dict[str, int]:
     """What the management address tells."""
     with daemon.connect("management") as asked:
         asked.sendall(b"GET /stats HTTP/1.1\r\n\r\n")
@@ -150,7 +150,9 @@
     return {name.removeprefix("app."): int(value) for name, value in (each.split("=") for each in lines)}
 
 
-def ask_http(daemon: Daemon, job: str, cls: str, text: str, slots: int, budget: int, seen: Counter) -> None:
+def run_http_job(
+    daemon: Daemon, job: str, cls: str, text: str, slots: int, budget: int, seen: Counter
+) -> None:
     head = (
         f"POST /{cls} HTTP/1.1\r\nX-Call-Id: {job}\r\nX-Budget-Ms: {budget}\r\nX-Call-Info: slots={slots}"
         f"\r\nContent-Length: {len(text)}\r\n\r\n{text}"
@@ -161,7 +163,7 @@
     seen[cls, {"200": "served", "503": "refused"}.get(status, "failed")] += 1
 
 
-def ask_faktory(
+def run_faktory_job(
     daemon: Daemon, job: str, cls: str, text: str, slots: int, budget: int, seen: Counter
 ) -> None:
     speaker = FaktorySpeaker(daemon)
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -16,7 +16,7 @@
 
 from conftest import Driver, settings
 from player import WAIT_TIMEOUT_S, Daemon, config, member
-from standins import figures, thread
+from standins import read_stats, start_thread
 
 from spanwing.core.clock import Clock
 from spanwing.core.messages import (
@@ -63,7 +63,7 @@
                     )
                     connection.recv(1000)
 
-        client_threads = [thread(connect_repeatedly) for _ in range(4)]
+        client_threads = [start_thread(connect_repeatedly) for _ in range(4)]
         response_times_s = []
         for number in range(20):
             started_s = time.monotonic()
@@ -129,12 +129,12 @@
             {**config([member("w1", worker.getsockname()[1])]), "management": "127.0.0.1:0"}, ""
         ).wait_until_ready()
         self.addCleanup(daemon.close)
-        self.assertEqual(figures(daemon)["active"], 0)
+        self.assertEqual(read_stats(daemon)["active"], 0)
         waiting = daemon.connect("clients")
         waiting.sendall(
             b"POST /status-read HTTP/1.1\r\nX-Call-Id: a1\r\nX-Budget-Ms: 3000\r\nContent-Length: 0\r\n\r\n"
         )
-        while figures(daemon)["tries"] < 1:
+        while read_stats(daemon)["tries"] < 1:
             time.sleep(0.01)
         daemon.process.terminate()
         status = b"200"
--- a/tests/test_mix.py
+++ b/tests/test_mix.py
@@ -6,7 +6,15 @@
 from collections import Counter
 
 from player import WAIT_TIMEOUT_S, Daemon, config, member
-from standins import Barrier, FaktoryWorker, HttpWorkers, ask_faktory, ask_http, figures, thread
+from standins import (
+    Barrier,
+    FaktoryWorker,
+    HttpWorkers,
+    run_faktory_job,
+    run_http_job,
+    read_stats,
+    start_thread,
+)
 
 CLASSES = ("status-read", "schedule-apply", "setpoint-push")
 WORKERS, SLOTS = 6, 4
@@ -29,7 +37,7 @@
     def run_mix(self, daemon: Daemon, run_job) -> Counter:
         outcomes: Counter = Counter()
         clients = [
-            thread(run_job, daemon, f"job-{cls}-{number}", cls, behaviour, slots, budget_ms, outcomes)
+            start_thread(run_job, daemon, f"job-{cls}-{number}", cls, behaviour, slots, budget_ms, outcomes)
             for cls in CLASSES
             for number, (behaviour, slots, budget_ms) in enumerate(MIX)
         ]
@@ -39,7 +47,7 @@
 
     def check_statistics(self, daemon: Daemon, listed: int) -> None:
         """Checks that the daemon's statistics, once it is idle, agree with what its clients observed."""
-        statistics = figures(daemon)
+        statistics = read_stats(daemon)
         names = {"ok": "served", "shed": "refused", "errors": "failed"}
         counts = {(cls, kind): statistics[f"{name}.{cls}"] for name, kind in names.items() for cls in CLASSES}
         self.assertEqual({each: count for each, count in counts.items() if count}, EXPECTED)
@@ -52,9 +60,9 @@
         daemon = Daemon({**config(members), "management": "127.0.0.1:0"}, "")
         self.addCleanup(daemon.close)
         workers.daemon = daemon.wait_until_ready()
-        self.assertEqual(self.run_mix(daemon, ask_http), EXPECTED)
+        self.assertEqual(self.run_mix(daemon, run_http_job), EXPECTED)
         self.check_statistics(daemon, WORKERS)
-        self.assertEqual(figures(daemon)["tries"], workers.tried)
+        self.assertEqual(read_stats(daemon)["tries"], workers.tried)
 
     def test_faktory(self) -> None:
         settings = {**config(), "management": "127.0.0.1:0"}
@@ -63,7 +71,7 @@
         barrier = Barrier(SENT)
         for number in range(WORKERS):
             FaktoryWorker(daemon, f"worker-{number}", SLOTS, list(CLASSES), barrier)
-        self.assertEqual(self.run_mix(daemon, ask_faktory), EXPECTED)
+        self.assertEqual(self.run_mix(daemon, run_faktory_job), EXPECTED)
         self.check_statistics(daemon, WORKERS)
         barrier.over = True
 
