--- a/tests/standins.py
+++ b/tests/standins.py
@@ -36,7 +36,7 @@
         self.ports = [each.getsockname()[1] for each in self.sockets]
         self.barrier = Barrier(expected)
         self.daemon: Daemon | None = None
-        self.tried = 0
+        self.attempt_count = 0
         for number, each in enumerate(self.sockets):
             start_thread(self.accept, f"w{number}", each)
 
@@ -57,13 +57,13 @@
                 if not first:
                     return
                 taken = first.startswith("POST")
-                self.tried += taken
+                self.attempt_count += taken
                 connection.sendall(b"HTTP/1.1 %d X\r\nContent-Length: 0\r\n\r\n" % (202 if taken else 200))
                 if taken:
                     start_thread(self.fate, name, headers["x-call-id"], body.decode())
 
     def fate(self, name: str, job: str, text: str) -> None:
-        self.barrier.come()
+        self.barrier.arrive()
         state = FATES.get(text)
         if state is not None:
             event = json.dumps({"id": job, "from": name, "state": state, "result": text}).encode()
@@ -79,7 +79,7 @@
             each.close()
 
 
-class FaktorySpeaker:
+class FaktoryClient:
     """One connection that has said HELLO."""
 
     def __init__(self, daemon: Daemon, **hello) -> None:
@@ -107,19 +107,19 @@
     def __init__(self, daemon: Daemon, name: str, threads: int, queues: list[str], barrier: Barrier) -> None:
         self.queues, self.barrier = " ".join(queues), barrier
         self.speakers = [
-            FaktorySpeaker(daemon, wid=name, labels=["zone:a", "kind:big"]) for _ in range(threads)
+            FaktoryClient(daemon, wid=name, labels=["zone:a", "kind:big"]) for _ in range(threads)
         ]
         for each in self.speakers:
             start_thread(self.work, each)
 
-    def work(self, speaker: FaktorySpeaker) -> None:
+    def work(self, speaker: FaktoryClient) -> None:
         try:
-            while not self.barrier.over:
+            while not self.barrier.is_stopped:
                 job = speaker.ask("FETCH", self.queues)
                 if job is None:
                     continue
                 job = json.loads(job)
-                self.barrier.come()
+                self.barrier.arrive()
                 verb = {"done": "ACK", "failing": "FAIL"}.get(job["args"][0])
                 if verb is not None:
                     speaker.ask(verb, json.dumps({"jid": job["jid"]}))
@@ -131,13 +131,13 @@
     """Opens when the expected number has come; later ones pass."""
 
     def __init__(self, expected: int) -> None:
-        self.left, self.lock, self.opened = expected, threading.Lock(), threading.Event()
-        self.over = False
+        self.missing_count, self.lock, self.opened = expected, threading.Lock(), threading.Event()
+        self.is_stopped = False
 
-    def come(self) -> None:
+    def arrive(self) -> None:
         with self.lock:
-            self.left -= 1
-            if self.left <= 0:
+            self.missing_count -= 1
+            if self.missing_count <= 0:
                 self.opened.set()
         self.opened.wait(WAIT_TIMEOUT_S)
 
@@ -166,7 +166,7 @@
 def run_faktory_job(
     daemon: Daemon, job: str, cls: str, text: str, slots: int, budget: int, seen: Counter
 ) -> None:
-    speaker = FaktorySpeaker(daemon)
+    speaker = FaktoryClient(daemon)
     custom = {"answer": "outcome", "slots": slots, "budget_ms": budget}
     reply = speaker.ask(
         "PUSH", json.dumps({"jid": job, "jobtype": cls, "queue": cls, "args": [text], "custom": custom})
--- a/tests/test_balancers.py
+++ b/tests/test_balancers.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 
 from player import WAIT_TIMEOUT_S, ROOT, Daemon, config, member
-from standins import FaktorySpeaker
+from standins import FaktoryClient
 
 from measure.balancers import PROTOCOLS, Backend, Judge, Seen, agent_reply
 from measure.drains import Lane
@@ -258,7 +258,7 @@
         daemon = self.daemon(fronts, [], kinds=["big", "old"], specifics={"class_kind": [-1, -1, 0]})
         health = daemon.addresses["health"]
         workers = {
-            kind: FaktorySpeaker(daemon, wid=f"w-{kind}", labels=["zone:a", f"kind:{kind}"])
+            kind: FaktoryClient(daemon, wid=f"w-{kind}", labels=["zone:a", f"kind:{kind}"])
             for kind in ("big", "old")
         }
 
@@ -276,8 +276,8 @@
     def test_faktory_speakers_are_told_of_a_drain_and_of_its_end(self) -> None:
         path = str(self.folder / "admin")
         daemon = self.daemon(self.table(faktory="127.0.0.1:0") + f'[admin]\nsocket = "{path}"\n', [])
-        worker = FaktorySpeaker(daemon, wid="w", labels=["zone:a"])
-        producer = FaktorySpeaker(daemon)
+        worker = FaktoryClient(daemon, wid="w", labels=["zone:a"])
+        producer = FaktoryClient(daemon)
 
         def push(jid: str) -> str:
             return producer.ask(
--- a/tests/test_golden_process.py
+++ b/tests/test_golden_process.py
@@ -21,7 +21,7 @@
 import pytest
 from golden_compare import compare_json, form
 from player import WAIT_TIMEOUT_S, ROOT, Daemon, config, member
-from standins import Barrier, FaktorySpeaker, FaktoryWorker, HttpWorkers, read_http
+from standins import Barrier, FaktoryClient, FaktoryWorker, HttpWorkers, read_http
 
 FRONTS = ("health", "agent_check", "feedback", "grpc", "faktory")
 JOBS = (  # of the platform's front: class, id, the text by which its worker acts, budget, status
@@ -84,7 +84,7 @@
         """One job ends well, one does not; a job that was given before is REPEATED, as one of the store or as
         one that the journal knows."""
         FaktoryWorker(self.daemon, "f0", 1, ["schedule-apply"], Barrier(0))
-        pushed = FaktorySpeaker(self.daemon)
+        pushed = FaktoryClient(self.daemon)
         pushed.socket.settimeout(WAIT_TIMEOUT_S)
         for text, reply in (("done", "+OK"), ("failing", "-ERR failed")):
             given = {"jid": f"job-{text}", "jobtype": "schedule-apply", "queue": "schedule-apply"}
--- a/tests/test_golden_restart.py
+++ b/tests/test_golden_restart.py
@@ -11,7 +11,7 @@
 
 import pytest
 from golden_compare import GOLDEN
-from standins import Barrier, FaktorySpeaker, FaktoryWorker
+from standins import Barrier, FaktoryClient, FaktoryWorker
 from test_golden_process import FRONTS, Running
 
 
@@ -29,7 +29,7 @@
 def test_no_job_of_an_earlier_daemon_runs_again(running) -> None:
     fetched = Barrier(1)
     FaktoryWorker(running.daemon, "f0", 1, ["schedule-apply"], fetched)
-    pushed = FaktorySpeaker(running.daemon)
+    pushed = FaktoryClient(running.daemon)
     told = {}
     for job in ("job-done", "job-failing", "job-left-open", "job-new-one"):
         given = {"jid": job, "jobtype": "schedule-apply", "queue": "schedule-apply", "args": ["done"]}
@@ -42,7 +42,7 @@
         "its outcome is not known",
         "job-new-one": "+OK",
     }
-    assert fetched.left == 0  # one job went to a worker, the new one
+    assert fetched.missing_count == 0  # one job went to a worker, the new one
 
 
 def test_the_journal_and_the_policy_are_those_of_the_earlier_daemon(running) -> None:
--- a/tests/test_mix.py
+++ b/tests/test_mix.py
@@ -62,7 +62,7 @@
         workers.daemon = daemon.wait_until_ready()
         self.assertEqual(self.run_mix(daemon, run_http_job), EXPECTED)
         self.check_statistics(daemon, WORKERS)
-        self.assertEqual(read_stats(daemon)["tries"], workers.tried)
+        self.assertEqual(read_stats(daemon)["tries"], workers.attempt_count)
 
     def test_faktory(self) -> None:
         settings = {**config(), "management": "127.0.0.1:0"}
@@ -73,7 +73,7 @@
             FaktoryWorker(daemon, f"worker-{number}", SLOTS, list(CLASSES), barrier)
         self.assertEqual(self.run_mix(daemon, run_faktory_job), EXPECTED)
         self.check_statistics(daemon, WORKERS)
-        barrier.over = True
+        barrier.is_stopped = True
 
 
 if __name__ == "__main__":
--- a/tests/test_termination_races.py
+++ b/tests/test_termination_races.py
@@ -21,7 +21,7 @@
 from unittest import mock
 
 from player import WAIT_TIMEOUT_S, SETTINGS, Daemon, config, member
-from standins import FaktorySpeaker, read_http
+from standins import FaktoryClient, read_http
 from tornado.concurrent import Future
 
 from spanwing.core.messages import AttemptEnded, DeliveryAttempt, JobRequest
@@ -429,15 +429,15 @@
             for cls in ("status-read", "schedule-apply"):
                 with self.subTest(cls, pipelined=pipelined):
                     self.start(cancel=False, fronts='[faktory]\nlisten = "127.0.0.1:0"\n')
-                    worker = FaktorySpeaker(self.daemon, wid="w1", labels=["zone:a", "kind:big"])
+                    worker = FaktoryClient(self.daemon, wid="w1", labels=["zone:a", "kind:big"])
                     self.addCleanup(worker.close)
                     self.wait_for_counter("listed.partial", 1)
-                    client = FaktorySpeaker(self.daemon)
+                    client = FaktoryClient(self.daemon)
                     client.socket.sendall(encode_push(cls, "job-0001") + pipelined)
                     self.wait_for_counter("sent", 1)
                     client.close()
                     self.wait_for_counter("left", 1)
-                    other = FaktorySpeaker(self.daemon)
+                    other = FaktoryClient(self.daemon)
                     self.addCleanup(other.close)
                     other.socket.sendall(encode_push(cls, "job-0002"))
                     self.wait_for_counter("sent", 2)
