--- a/tests/test_balancers.py
+++ b/tests/test_balancers.py
@@ -17,7 +17,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-from player import WAIT_TIMEOUT_S, ROOT, Daemon, config, member
+from player import ROOT, WAIT_TIMEOUT_S, Daemon, config, member
 from standins import FaktoryClient
 
 from measure.balancers import PROTOCOLS, Backend, Judge, Seen, agent_reply
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -12,7 +12,7 @@
 import unittest
 from pathlib import Path
 
-from player import WAIT_TIMEOUT_S, ROOT, Daemon, config, member
+from player import ROOT, WAIT_TIMEOUT_S, Daemon, config, member
 
 
 def spanwing(*arguments: str, **environment: str) -> subprocess.CompletedProcess:
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 import numpy as np
-from player import WAIT_TIMEOUT_S, ROOT
+from player import ROOT, WAIT_TIMEOUT_S
 
 from spanwing.config_errors import ConfigurationError, ErrorCollector
 from spanwing.experiment.cell import apply_changes
--- a/tests/test_golden_cli.py
+++ b/tests/test_golden_cli.py
@@ -11,7 +11,7 @@
 
 import pytest
 from golden_compare import GOLDEN, compare_text
-from player import WAIT_TIMEOUT_S, ROOT
+from player import ROOT, WAIT_TIMEOUT_S
 
 from spanwing.cli.main import main
 
--- a/tests/test_golden_process.py
+++ b/tests/test_golden_process.py
@@ -20,7 +20,7 @@
 
 import pytest
 from golden_compare import compare_json, form
-from player import WAIT_TIMEOUT_S, ROOT, Daemon, config, member
+from player import ROOT, WAIT_TIMEOUT_S, Daemon, config, member
 from standins import Barrier, FaktoryClient, FaktoryWorker, HttpWorkers, read_http
 
 FRONTS = ("health", "agent_check", "feedback", "grpc", "faktory")
--- a/tests/test_mix.py
+++ b/tests/test_mix.py
@@ -10,9 +10,9 @@
     Barrier,
     FaktoryWorker,
     HttpWorkers,
+    read_stats,
     run_faktory_job,
     run_http_job,
-    read_stats,
     start_thread,
 )
 
--- a/tests/test_termination_races.py
+++ b/tests/test_termination_races.py
@@ -20,7 +20,7 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from player import WAIT_TIMEOUT_S, SETTINGS, Daemon, config, member
+from player import SETTINGS, WAIT_TIMEOUT_S, Daemon, config, member
 from standins import FaktoryClient, read_http
 from tornado.concurrent import Future
 
@@ -745,7 +745,7 @@
         self.assertNotIn("tries", self.read_counters())
 
     def create_control_files(self) -> tuple[Path, Path]:
-        """Returns a pipe for instrumented_daemon.py's option `hold`, and an empty file for its option `ahead`."""
+        """Returns a pipe for option `hold` and an empty file for option `ahead` of instrumented_daemon.py."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         gate, ahead = Path(folder.name) / "gate", Path(folder.name) / "ahead"
