--- a/tests/instrumented_daemon.py
+++ b/tests/instrumented_daemon.py
@@ -1,9 +1,11 @@
-"""The daemon with something of the machine or of time in the test's hands: `python tests/oddly.py WORD ..`.
+"""Runs the daemon with send buffers, delays, its clock or its exit under a test's control.
 
-small       sockets that it opens or accepts hold only some KB of what is to be sent
-hold=PIPE   each last byte of work that must not run twice is held until a byte comes by this pipe
-ahead=FILE  its clock is ahead by as many milliseconds as this file has bytes
-end=PIPE    it says "ending" once it has served, and ends when something comes by this pipe
+Usage: python tests/instrumented_daemon.py OPTION ..
+
+small       sockets that it opens or accepts get a send buffer of SEND_BUFFER_BYTES
+hold=PIPE   a delay before the last byte of a non-idempotent job ends when a byte is read from this pipe
+ahead=FILE  its monotonic clock is ahead by one millisecond per byte of this file
+end=PIPE    after serving it prints "ending", and exits when this pipe has been written and closed
 """
 
 from __future__ import annotations
@@ -18,40 +20,40 @@
 
 from spanwing.net import address
 
-SMALL = 4096
-WORDS = dict(word.partition("=")[::2] for word in sys.argv[1:])
+SEND_BUFFER_BYTES = 4096
+OPTIONS = dict(option.partition("=")[::2] for option in sys.argv[1:])
 
-if "small" in WORDS:
-    plain = address.open_socket
+if "small" in OPTIONS:
+    original_open_socket = address.open_socket
 
-    def small(where: address.Address) -> socket.socket:
-        sock = plain(where)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)  # what is accepted there has it too
+    def open_socket_with_small_buffer(target: address.Address) -> socket.socket:
+        sock = original_open_socket(target)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)  # accepted sockets inherit it
         return sock
 
-    address.open_socket = small  # before others take it by name
+    address.open_socket = open_socket_with_small_buffer  # before other modules import the function by name
 
 from spanwing.core.clock import Clock  # noqa: E402
 from spanwing.daemon import serve  # noqa: E402
 from spanwing.workers import http_worker  # noqa: E402
 
-if "hold" in WORDS:
-    gate, pause = os.open(WORDS["hold"], os.O_RDWR), http_worker.sleep
+if "hold" in OPTIONS:
+    gate, original_sleep = os.open(OPTIONS["hold"], os.O_RDWR), http_worker.sleep
 
-    async def held(seconds: float) -> None:
+    async def sleep_until_released(seconds: float) -> None:
         if seconds == http_worker.LAST_BYTE_DELAY_S:
             await asyncio.get_running_loop().run_in_executor(None, os.read, gate, 1)
         else:
-            await pause(seconds)
+            await original_sleep(seconds)
 
-    http_worker.sleep = held
+    http_worker.sleep = sleep_until_released
 
-if "ahead" in WORDS:
-    plain_now = Clock.now_ms
-    Clock.now_ms = lambda clock: plain_now(clock) + os.path.getsize(WORDS["ahead"])
+if "ahead" in OPTIONS:
+    original_now_ms = Clock.now_ms
+    Clock.now_ms = lambda clock: original_now_ms(clock) + os.path.getsize(OPTIONS["ahead"])
 
 status = serve()
-if "end" in WORDS:
+if "end" in OPTIONS:
     print("ending", flush=True)
-    Path(WORDS["end"]).read_text()
+    Path(OPTIONS["end"]).read_text()
 sys.exit(status)
