--- a/tests/instrumented_daemon.py
+++ b/tests/instrumented_daemon.py
@@ -4,7 +4,7 @@
 
 small       sockets that it opens or accepts get a send buffer of SEND_BUFFER_BYTES
 hold=PIPE   a delay before the last byte of a non-idempotent job ends when a byte is read from this pipe
-ahead=FILE  its monotonic clock is ahead by one millisecond per byte of this file
+ahead=FILE  its clock (Clock.now_ms) is ahead by one millisecond per byte of this file
 end=PIPE    after serving it prints "ending", and exits when this pipe has been written and closed
 """
 
