--- a/tests/golden_compare.py
+++ b/tests/golden_compare.py
@@ -1,7 +1,7 @@
-"""Compares what the program shows now with files that were written by an earlier one.
+"""Compares output of the program with golden files of an earlier version.
 
-A file is written anew only on purpose: WRITE_GOLDEN=1 in the environment of the test run. What an operator or
-a script can see of the difference belongs in CHANGELOG.md.
+With WRITE_GOLDEN=1 in the environment of the test run the files are written first. Changes that operators or
+scripts can see belong in CHANGELOG.md.
 """
 
 from __future__ import annotations
@@ -13,37 +13,42 @@
 from typing import Any
 
 GOLDEN = Path(__file__).parent / "golden"
-WRITING = os.environ.get("WRITE_GOLDEN") == "1"
-TOLD = re.compile(r"[^0-9/]{0,80}")  # a text without figures, times, ports and paths is the same every time
+WRITE_FILES = os.environ.get("WRITE_GOLDEN") == "1"
+STABLE_TEXT = re.compile(r"[^0-9/]{0,80}")  # no numbers, times, ports or paths: equal in every run
 
 
-def compare_text(name: str, got: str) -> None:
-    """The file NAME under tests/golden, byte for byte."""
+def compare_text(name: str, actual: str) -> None:
+    """Asserts that the file `name` under tests/golden is equal to a text, byte for byte."""
     path = GOLDEN / name
-    if WRITING:
+    if WRITE_FILES:
         path.parent.mkdir(parents=True, exist_ok=True)
-        path.write_text(got)
-    assert got == path.read_text(), f"not as {path.relative_to(GOLDEN.parent.parent)} has it"
+        path.write_text(actual)
+    assert actual == path.read_text(), (
+        f"output differs from {path.relative_to(GOLDEN.parent.parent)} (WRITE_GOLDEN=1 writes it)"
+    )
 
 
-def compare_json(name: str, got: Any) -> None:
-    """As compare_text; a list or an object of a line's length stands on one line."""
-    compare_text(name, _laid_out(got) + "\n")
+def compare_json(name: str, actual: Any) -> None:
+    """Asserts that the file holds a JSON value, laid out with each list or object that fits on one line."""
+    compare_text(name, _laid_out(actual) + "\n")
 
 
-def form(value: Any) -> Any:
-    """Keys and types of a JSON value; booleans, nulls and texts that are the same every time as they are."""
+def json_shape(value: Any) -> Any:
+    """Returns the shape of a JSON value: its keys, and the types of its numbers and variable texts.
+
+    Booleans, nulls and texts that are equal in every run are kept; a list keeps each distinct shape once.
+    """
     match value:
         case dict():
-            return {key: form(each) for key, each in value.items()}
+            return {key: json_shape(each) for key, each in value.items()}
         case list():
-            forms = []
-            for each in map(form, value):
-                if each not in forms:
-                    forms.append(each)
-            return forms
+            shapes = []
+            for each in map(json_shape, value):
+                if each not in shapes:
+                    shapes.append(each)
+            return shapes
         case str():
-            return f"={value}" if TOLD.fullmatch(value) else "text"
+            return f"={value}" if STABLE_TEXT.fullmatch(value) else "text"
         case bool() | None:
             return value
     return {int: "integer", float: "number"}[type(value)]
--- a/tests/golden_files.py
+++ b/tests/golden_files.py
@@ -1,6 +1,6 @@
-"""Reads the golden files, and measures how a form takes what an older or a newer program would send.
+"""Reads the golden files, and determines which fields a decoder needs and whether it accepts unknown ones.
 
-Nothing here names anything of the program.
+This file uses no names of the program.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 GOLDEN = Path(__file__).parent / "golden"
 FORMS, TOLERANCE = GOLDEN / "forms", GOLDEN / "tolerance"
 FOLDERS, ANSWERS = GOLDEN / "folders", GOLDEN / "answers"
-LOCK = "lock"  # an empty file of a folder that one process at a time may write
+LOCK_NAME = "lock"  # an empty file that a process locks while it writes to the folder
 
 
-def forms(subject: str) -> dict[str, bytes]:
-    """The golden bytes of a subject, by name; binary ones stand as hexadecimal digits."""
+def read_messages(subject: str) -> dict[str, bytes]:
+    """Returns the golden bytes of a subject by name. The file has binary values as hexadecimal digits."""
     found = {}
     for line in (FORMS / f"{subject}.tsv").read_text().splitlines():
         name, kind, text = line.split("\t")
@@ -29,30 +29,33 @@
 
 
 def folder_bytes(folder: Path) -> dict[str, bytes]:
-    """All files of a folder but its lock."""
-    return {each.name: each.read_bytes() for each in sorted(folder.iterdir()) if each.name != LOCK}
+    """Returns the contents of all files of a folder by name, without the lock file."""
+    return {each.name: each.read_bytes() for each in sorted(folder.iterdir()) if each.name != LOCK_NAME}
 
 
-def copied(subject: str, place: Path) -> Path:
-    """A copy of a golden folder, which may be opened and written."""
+def copy_folder(subject: str, place: Path) -> Path:
+    """Copies a golden folder to `place`, where a test may open and change it, and returns `place`."""
     shutil.copytree(FOLDERS / subject / "written", place)
     return place
 
 
-def answers(name: str) -> Any:
+def read_json(name: str) -> Any:
+    """Returns the value of a JSON file under tests/golden."""
     return json.loads((GOLDEN / name).read_text())
 
 
-def known_tolerance() -> dict[str, Any]:
-    """By subject and name: how the program took each form when the golden files were made."""
+def read_tolerance() -> dict[str, Any]:
+    """Returns the recorded results of measure_tolerance(), by subject and name."""
     return {each.stem: json.loads(each.read_text()) for each in TOLERANCE.iterdir()}
 
 
-def _pack(value: object, binary: bool) -> bytes:
+def _encode(value: object, binary: bool) -> bytes:
+    """Encodes a value as MessagePack or as JSON."""
     return (msgspec.msgpack if binary else msgspec.json).encode(value)
 
 
-def _reads(decode: Callable[[bytes], Any], data: bytes) -> bool:
+def _is_accepted(decode: Callable[[bytes], Any], data: bytes) -> bool:
+    """Returns whether the decoder accepts the data."""
     try:
         decode(data)
     except ValueError:
@@ -60,28 +63,45 @@
     return True
 
 
-def tolerance(data: bytes, binary: bool, decode: Callable[[bytes], Any]) -> dict[str, Any]:
-    """How a decoder takes one form with something more, or with something missing."""
+def measure_tolerance(data: bytes, binary: bool, decode: Callable[[bytes], Any]) -> dict[str, Any]:
+    """Returns which changes of one encoded value a decoder accepts.
+
+    `more`: whether it accepts an unknown field. For an array `shortest` is the least number of elements it
+    accepts; for an object `needed` lists the fields without which it rejects the value.
+    """
     value = (msgspec.msgpack if binary else msgspec.json).decode(data)
     if isinstance(value, list):
-        shortest = next(size for size in range(len(value) + 1) if _reads(decode, _pack(value[:size], binary)))
-        return {"more": _reads(decode, _pack([*value, "of a newer program"], binary)), "shortest": shortest}
+        shortest = next(
+            size for size in range(len(value) + 1) if _is_accepted(decode, _encode(value[:size], binary))
+        )
+        return {
+            "more": _is_accepted(decode, _encode([*value, "of a newer program"], binary)),
+            "shortest": shortest,
+        }
     needed = [
         name
         for name in value
-        if not _reads(decode, _pack({key: each for key, each in value.items() if key != name}, binary))
+        if not _is_accepted(
+            decode, _encode({key: each for key, each in value.items() if key != name}, binary)
+        )
     ]
-    return {"more": _reads(decode, _pack({**value, "of a newer program": 1}, binary)), "needed": needed}
+    return {
+        "more": _is_accepted(decode, _encode({**value, "of a newer program": 1}, binary)),
+        "needed": needed,
+    }
+
 
+def reduce_message(data: bytes, binary: bool, known: dict[str, Any]) -> Iterator[bytes]:
+    """Yields the encoded value without its optional fields, then with an unknown field if that is accepted.
 
-def shortened(data: bytes, binary: bool, known: dict[str, Any]) -> Iterator[bytes]:
-    """The form without all that may be missing, and with something unknown where that is taken."""
+    `known` is the result of measure_tolerance() for the value.
+    """
     value = (msgspec.msgpack if binary else msgspec.json).decode(data)
     if isinstance(value, list):
-        yield _pack(value[: known["shortest"]], binary)
-        more: Any = [*value, "of a newer program"]
+        yield _encode(value[: known["shortest"]], binary)
+        extended: Any = [*value, "of a newer program"]
     else:
-        yield _pack({key: each for key, each in value.items() if key in known["needed"]}, binary)
-        more = {**value, "of a newer program": 1}
+        yield _encode({key: each for key, each in value.items() if key in known["needed"]}, binary)
+        extended = {**value, "of a newer program": 1}
     if known["more"]:
-        yield _pack(more, binary)
+        yield _encode(extended, binary)
--- a/tests/golden_folders.py
+++ b/tests/golden_folders.py
@@ -1,7 +1,7 @@
-"""Whole folders of the journal, the store and the policy: how each is written, and what is read from one.
+"""Writes and reads whole folders of the journal, the store and the policy for the golden tests.
 
-Beside golden_messages.py the only file of the golden tests that uses names of the program. All times, names
-and ids are fixed, so the same calls write the same bytes; what is read comes as plain values by position.
+With golden_messages.py the only file of the golden tests that uses names of the program. Times, names and ids
+are fixed, so the same calls write the same bytes. What is read is returned as plain values by position.
 """
 
 from __future__ import annotations
@@ -37,22 +37,18 @@
     RequestAnswered,
     encode_record,
 )
-from spanwing.journal.segment_log import RetentionLimits as JournalBounds
-from spanwing.journal.segment_log import SegmentLog, SegmentReader
+from spanwing.journal.segment_log import RetentionLimits, SegmentLog, SegmentReader
 from spanwing.journal.snapshot import decode_snapshot
-from spanwing.journal.writer import JournalWriter as JournalKeeper
-from spanwing.policy import records as record
-from spanwing.policy.coordinator import PermitSettings as ChairBounds
-from spanwing.policy.coordinator import PolicyCoordinator, PolicyVote
+from spanwing.journal.writer import JournalWriter
+from spanwing.policy import records
+from spanwing.policy.coordinator import PermitSettings, PolicyCoordinator, PolicyVote
 from spanwing.policy.participant import PolicyParticipant
 from spanwing.policy.policy_cache import PolicyCache
 from spanwing.policy.service import PolicyService
 from spanwing.store.acceptor import Acceptor
 from spanwing.store.claims import Claim, Claims
 from spanwing.store.disk import RegisterLog
-from spanwing.store.document import Document, Transaction
-from spanwing.store.document import decode_document as document_of
-from spanwing.store.document import encode_document as document_text
+from spanwing.store.document import Document, Transaction, decode_document, encode_document
 from spanwing.store.document_service import DOCUMENT_KEY
 from spanwing.store.leader import LEADERSHIP_KEY, Leader
 from spanwing.store.lease import Lease
@@ -64,11 +60,11 @@
 from spanwing.zones.service import ZoneService
 
 WALL_MS = 1700000000000.0
-BOOT = "0b0b0b0b-0000-4000-8000-000000000001"
+BOOT_ID = "0b0b0b0b-0000-4000-8000-000000000001"
 
 
 def plain(value: Any) -> Any:
-    """A value as JSON has it, where what is made of named fields goes by position."""
+    """Returns a value as JSON has it; structs and dataclasses become lists of their fields by position."""
     if isinstance(value, msgspec.Struct):
         return [plain(each) for each in msgspec.structs.astuple(value)]
     if dataclasses.is_dataclass(value):
@@ -82,7 +78,7 @@
 
 @contextmanager
 def _fixed_clock() -> Iterator[None]:
-    """Both clocks stand still, and what is drawn is always the same."""
+    """Fixes the wall clock, the monotonic clock and the random tokens."""
     with (
         patch("time.time", lambda: WALL_MS / 1000.0 + 900.0),
         patch("time.monotonic", lambda: 9000.0),
@@ -93,7 +89,7 @@
 
 # -- the journal
 
-JOURNAL_BOUNDS = JournalBounds(
+RETENTION_LIMITS = RetentionLimits(
     segment_bytes=900,
     segment_ms=1e9,
     retention_ms=1e12,
@@ -111,8 +107,8 @@
 )
 
 
-class _Ticks:
-    """Times of records, each a little later than the one before."""
+class _RecordTimes:
+    """Returns the times of successive records, each some 10 ms after the one before."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -122,50 +118,58 @@
         return {"wall_ms": WALL_MS + 10.5 * self.count, "mono_ms": 4000.0 + 10.25 * self.count}
 
 
-def _job(tick: _Ticks, number: int, cls: str, ends: str) -> list[Any]:
-    """The records of one request; ends: at which of its steps the records stop."""
+def _request_records(next_times: _RecordTimes, number: int, cls: str, last_step: str) -> list[Any]:
+    """Returns the records of one request up to the step that `last_step` names."""
     name, worker = f"job-{number}", f"worker-{number % 3 + 1}"
-    own = {"request": name}
+    request = {"request": name}
     made = [
         RequestAccepted(
-            **own,
-            **tick(),
+            **request,
+            **next_times(),
             cls=cls,
             tenant="corrib",
             key=f"key-{number}",
             front="platform",
             budget_ms=25000.5,
         ),
-        AttemptIntent(**own, **tick(), attempt=0, worker=worker, address=f"127.0.0.1:{4000 + number}"),
+        AttemptIntent(
+            **request, **next_times(), attempt=0, worker=worker, address=f"127.0.0.1:{4000 + number}"
+        ),
     ]
-    if ends == "intent":
+    if last_step == "intent":
         return made
-    if ends == "retried":
+    if last_step == "retried":
         made += [
-            AttemptUnsent(**own, **tick(), attempt=0, why="unreachable"),
-            AttemptIntent(**own, **tick(), attempt=1, worker="worker-3", address="127.0.0.1:4999"),
-            AttemptCancelled(**own, **tick(), attempt=1, why="deadline"),
+            AttemptUnsent(**request, **next_times(), attempt=0, why="unreachable"),
+            AttemptIntent(**request, **next_times(), attempt=1, worker="worker-3", address="127.0.0.1:4999"),
+            AttemptCancelled(**request, **next_times(), attempt=1, why="deadline"),
         ]
-    made.append(LastByteWritten(**own, **tick(), attempt=1 if ends == "retried" else 0))
-    if ends == "last byte":
+    made.append(LastByteWritten(**request, **next_times(), attempt=1 if last_step == "retried" else 0))
+    if last_step == "last byte":
         return made
-    made.append(AttemptCompleted(**own, **tick(), attempt=1 if ends == "retried" else 0, result="ok"))
-    return made if ends == "outcome" else [*made, RequestAnswered(**own, **tick(), kind="served")]
+    made.append(
+        AttemptCompleted(**request, **next_times(), attempt=1 if last_step == "retried" else 0, result="ok")
+    )
+    return (
+        made if last_step == "outcome" else [*made, RequestAnswered(**request, **next_times(), kind="served")]
+    )
 
 
 def write_journal(path: Path) -> None:
-    """Three lives in several segments, with snapshots, thinned segments and indexes; a crash tears the last
-    record."""
-    tick = _Ticks()
+    """Writes three process runs into several segments, with snapshots, compaction, indexes, a torn record."""
+    next_times = _RecordTimes()
 
-    def life(number: int, certain: bool, batches: list[list[Any]], closes: bool = True) -> None:
+    def write_run(number: int, certain: bool, batches: list[list[Any]], closes_attempts: bool = True) -> None:
         files = LocalFolder(str(path))
-        log = SegmentLog(files, JOURNAL_BOUNDS)
+        log = SegmentLog(files, RETENTION_LIMITS)
         started = ProcessStarted(
-            request="", **tick(), name="scheduler-a", life=f"{number:016x}", certain=certain
+            request="", **next_times(), name="scheduler-a", life=f"{number:016x}", certain=certain
         )
         log.write(
-            [started, *(log.request_states.closing_records(*tick().values()) if closes else [])],
+            [
+                started,
+                *(log.request_states.closing_records(*next_times().values()) if closes_attempts else []),
+            ],
             WALL_MS + number * 5e5,
         )
         for batch in batches:
@@ -173,66 +177,79 @@
         log.close()
         files.close_all()
 
-    life(1, True, [_job(tick, n, "look" if n % 2 else "schedule-apply", "answer") for n in range(1, 7)])
-    life(
+    write_run(
+        1,
+        True,
+        [
+            _request_records(next_times, n, "look" if n % 2 else "schedule-apply", "answer")
+            for n in range(1, 7)
+        ],
+    )
+    write_run(
         2,
         True,
         [
-            _job(tick, 11, "schedule-apply", "intent"),
-            _job(tick, 12, "bill", "last byte"),
-            _job(tick, 13, "bill", "retried"),
-            _job(tick, 14, "schedule-apply", "outcome"),
+            _request_records(next_times, 11, "schedule-apply", "intent"),
+            _request_records(next_times, 12, "bill", "last byte"),
+            _request_records(next_times, 13, "bill", "retried"),
+            _request_records(next_times, 14, "schedule-apply", "outcome"),
         ],
     )
-    gap = JournalGap(request="", **tick(), since_wall_ms=WALL_MS + 1.5, count=7, why="the disk is slow")
-    life(
+    gap = JournalGap(request="", **next_times(), since_wall_ms=WALL_MS + 1.5, count=7, why="the disk is slow")
+    write_run(
         3,
         False,
         [
-            _job(tick, 21, "bill", "answer"),
+            _request_records(next_times, 21, "bill", "answer"),
             [gap],
-            _job(tick, 22, "bill", "intent"),
-            [RequestAccepted(request="job-23", **tick(), cls="bill", tenant="corrib")],
-            _job(tick, 24, "schedule-apply", "answer"),
-            _job(tick, 25, "bill", "last byte"),
-            _job(tick, 26, "schedule-apply", "retried"),
-            [AttemptClosed(request="job-27", **tick(), attempt=2, worker="worker-1")],
+            _request_records(next_times, 22, "bill", "intent"),
+            [RequestAccepted(request="job-23", **next_times(), cls="bill", tenant="corrib")],
+            _request_records(next_times, 24, "schedule-apply", "answer"),
+            _request_records(next_times, 25, "bill", "last byte"),
+            _request_records(next_times, 26, "schedule-apply", "retried"),
+            [AttemptClosed(request="job-27", **next_times(), attempt=2, worker="worker-1")],
         ],
     )
     files = LocalFolder(str(path))
-    torn = encode_frame(1 << 22, encode_record(RequestAnswered(request="job-25", **tick(), kind="served")))
+    torn = encode_frame(
+        1 << 22, encode_record(RequestAnswered(request="job-25", **next_times(), kind="served"))
+    )
     with open(path / SegmentReader(files).segment_names()[-1], "ab") as segment:
         segment.write(torn[:-5])
-    for _ in SegmentCompactor(files, JOURNAL_BOUNDS).compact(None, WALL_MS + 1e9):
+    for _ in SegmentCompactor(files, RETENTION_LIMITS).compact(None, WALL_MS + 1e9):
         pass
     files.close_all()
     list(
         JournalReader(str(path)).find_requests({"job-1"})
-    )  # leaves an index beside each segment but the last
+    )  # writes an index beside each segment except the last
 
 
 def read_journal(path: Path) -> dict[str, Any]:
-    """All that the reader, the query language and a start find in a folder."""
-    book, files = JournalReader(str(path)), LocalFolder(str(path), for_writing=False)
-    log = SegmentLog(files, JOURNAL_BOUNDS)
+    """Returns what the journal reader, the query language and a daemon at its start read from a folder."""
+    reader, files = JournalReader(str(path)), LocalFolder(str(path), for_writing=False)
+    log = SegmentLog(files, RETENTION_LIMITS)
     snapshots = [decode_snapshot(files.read(each)) for each in files.names() if each.endswith(".snap")]
     return plain(
         {
-            "sizes": book.segment_sizes(),
-            "frames": [(name, isinstance(each, RecordFrame), *each[:2]) for name, each in book.read_frames()],
+            "sizes": reader.segment_sizes(),
+            "frames": [
+                (name, isinstance(each, RecordFrame), *each[:2]) for name, each in reader.read_frames()
+            ],
             "records": [
                 msgspec.to_builtins(each.record)
-                for _, each in book.read_frames()
+                for _, each in reader.read_frames()
                 if isinstance(each, RecordFrame)
             ],
-            "gaps": list(book.read_gaps()),
-            "verify": [(each.segment, each.damage, each.is_harmless) for each in book.verify()],
-            "rows": {text: list(book.find_rows(parse_query(text, WALL_MS + 1e9))) for text in EXPRESSIONS},
-            "rows as JSON": [row_as_json(each)["class"] for each in book.find_rows(parse_query("", WALL_MS))],
-            "keys of a row": list(row_as_json(next(book.find_rows(parse_query("", WALL_MS))))),
+            "gaps": list(reader.read_gaps()),
+            "verify": [(each.segment, each.damage, each.is_harmless) for each in reader.verify()],
+            "rows": {text: list(reader.find_rows(parse_query(text, WALL_MS + 1e9))) for text in EXPRESSIONS},
+            "rows as JSON": [
+                row_as_json(each)["class"] for each in reader.find_rows(parse_query("", WALL_MS))
+            ],
+            "keys of a row": list(row_as_json(next(reader.find_rows(parse_query("", WALL_MS))))),
             "fields of the language": FIELDS,
             "requests": {
-                name: book.find_request(name)
+                name: reader.find_request(name)
                 for name in ("job-1", "job-2", "job-11", "job-13", "job-26", "none")
             },
             "last": log.last_number,
@@ -242,8 +259,8 @@
             "lost": log.request_states.interrupted,
             "left open": log.request_states.unfinished_attempts(),
             "snapshots": [
-                (last, ledger.open_requests, ledger.interrupted, ledger.has_every_intent)
-                for ledger, last in snapshots
+                (last, states.open_requests, states.interrupted, states.has_every_intent)
+                for states, last in snapshots
             ],
             "segments": SegmentReader(files).segment_names(),
         }
@@ -251,33 +268,33 @@
 
 
 def restart_journal(path: Path) -> dict[str, Any]:
-    """The daemon's side starts on a folder that a crash left, writes one request of its own, and stops."""
+    """Starts the journal writer on the folder of a crashed process, records one request and closes it."""
     files = LocalFolder(str(path))
     with _fixed_clock():
-        keeper = JournalKeeper(SegmentLog(files), "refuse", "scheduler-b", lambda call, *args: call(*args))
-        may: list[bool] = []
-        keeper.record_accepted("job-31", "bill", "corrib", "key-31", "platform", 25000.5)
+        writer = JournalWriter(SegmentLog(files), "refuse", "scheduler-b", lambda call, *args: call(*args))
+        permissions: list[bool] = []
+        writer.record_accepted("job-31", "bill", "corrib", "key-31", "platform", 25000.5)
         for attempt in (0, 1):
-            keeper.record_intent("job-31", attempt, f"worker-{attempt}", "127.0.0.1:4031", may.append)
-        keeper.record_unsent("job-31", 0, "unreachable")
-        keeper.record_cancelled("job-31", 1, "deadline")
-        keeper.record_last_byte("job-31", 1)
-        keeper.record_outcome("job-31", 1, "ok")
-        keeper.record_answered("job-31", "served")
-        known = {
-            name: keeper.find_interrupted(name) for name in ("job-1", "job-11", "job-12", "job-22", "job-25")
+            writer.record_intent("job-31", attempt, f"worker-{attempt}", "127.0.0.1:4031", permissions.append)
+        writer.record_unsent("job-31", 0, "unreachable")
+        writer.record_cancelled("job-31", 1, "deadline")
+        writer.record_last_byte("job-31", 1)
+        writer.record_outcome("job-31", 1, "ok")
+        writer.record_answered("job-31", "served")
+        interrupted = {
+            name: writer.find_interrupted(name) for name in ("job-1", "job-11", "job-12", "job-22", "job-25")
         }
-        closed = keeper.close()
+        is_closed = writer.close()
     files.close_all()
     return plain(
         {
-            "left open": keeper.unfinished_attempts,
-            "lost": keeper.interrupted,
-            "skipped": keeper.damaged_ranges,
-            "earlier": known,
-            "may be sent": may,
-            "closed": closed,
-            "refusing": keeper.unavailable_reason(),
+            "left open": writer.unfinished_attempts,
+            "lost": writer.interrupted,
+            "skipped": writer.damaged_ranges,
+            "earlier": interrupted,
+            "may be sent": permissions,
+            "closed": is_closed,
+            "refusing": writer.unavailable_reason(),
         }
     )
 
@@ -287,57 +304,60 @@
 POLICY_TEXT = '{"classes":[{"name":"bill"}],"weight":%d}'
 
 
-class _HeldValues:
-    """Stands for the store: one value a key, and every value that a key has had."""
+class _ValueHistory:
+    """A stand-in for the store that keeps every value that a key has had."""
 
     def __init__(self) -> None:
         self.values: dict[str, list[str]] = {}
 
     async def change(self, key: str, apply: Callable[[str | None], str | None]) -> str | None:
-        held = self.values.setdefault(key, [])
-        value = apply(held[-1] if held else None)
-        if value is not None and value not in held[-1:]:
-            held.append(value)
+        """Replaces the current value by apply(value) and returns the result."""
+        history = self.values.setdefault(key, [])
+        value = apply(history[-1] if history else None)
+        if value is not None and value not in history[-1:]:
+            history.append(value)
         return value
 
 
-async def _claims_and_settings(store: _HeldValues) -> list[Any]:
+async def _claims_and_settings(store: _ValueHistory) -> list[Any]:
+    """Claims and settles requests and agrees on settings; returns the results."""
     claims = Claims(store)
-    found = []
+    results = []
     for number, ending in enumerate(("served", "failed", "refused", None)):
-        ours, claim = await claims.claim(f"job-{number}")
-        found.append([ours, claim])
+        is_ours, claim = await claims.claim(f"job-{number}")
+        results.append([is_ours, claim])
         if ending is not None:
             await claims.settle(f"job-{number}", claim, ending)
-    found.append(await claims.claim("job-0"))
-    found += [await agree_on_settings(store, revision, f'{{"revision":{revision}}}') for revision in (3, 2)]
-    return found
+    results.append(await claims.claim("job-0"))
+    results += [await agree_on_settings(store, revision, f'{{"revision":{revision}}}') for revision in (3, 2)]
+    return results
 
 
-def _ids() -> Callable[[], str]:
+def _transaction_ids() -> Callable[[], str]:
+    """Returns a function that returns txn-1, txn-2 and so on."""
     count = itertools.count(1)
     return lambda: f"txn-{next(count)}"
 
 
 def _transactions() -> Iterator[Document]:
-    """The fleet's document after each change that its writers make to it."""
-    draw, document = _ids(), Document()
-    keeper = Leader("member-a", 900.0, SimpleNamespace(), 0.0, lambda: 0.5)
+    """Yields the document after each transaction of the leader, the policy coordinator and the controller."""
+    next_id, document = _transaction_ids(), Document()
+    leader = Leader("member-a", 900.0, SimpleNamespace(), 0.0, lambda: 0.5)
 
-    def taken(txn: Transaction | None) -> Document:
+    def apply_transaction(txn: Transaction | None) -> Document:
         nonlocal document
-        document = keeper.document = document.apply(txn)
+        document = leader.document = document.apply(txn)
         return document
 
-    yield taken(keeper.takeover_transaction(0.0, draw()))
-    chair = PolicyCoordinator(ChairBounds(60000.0), lambda: WALL_MS + 1.5, draw)
-    chair.initial_policy = POLICY_TEXT % 1
-    known = SimpleNamespace(confirmed_at_ms=1.0, acknowledged_revision=1)
-    sessions = SimpleNamespace(leading_since_ms=0.0, sessions={"a.01": known, "b.02": known})
-    yield taken(chair.decide_next_change(1.0, document, sessions))
-    chair.record_vote("a.01", PolicyVote(wants_permit=True))
-    chair.record_vote("b.02", PolicyVote(wants_permit=True))
-    yield taken(chair.decide_next_change(2.0, document, sessions))
+    yield apply_transaction(leader.takeover_transaction(0.0, next_id()))
+    coordinator = PolicyCoordinator(PermitSettings(60000.0), lambda: WALL_MS + 1.5, next_id)
+    coordinator.initial_policy = POLICY_TEXT % 1
+    session_state = SimpleNamespace(confirmed_at_ms=1.0, acknowledged_revision=1)
+    sessions = SimpleNamespace(leading_since_ms=0.0, sessions={"a.01": session_state, "b.02": session_state})
+    yield apply_transaction(coordinator.decide_next_change(1.0, document, sessions))
+    coordinator.record_vote("a.01", PolicyVote(wants_permit=True))
+    coordinator.record_vote("b.02", PolicyVote(wants_permit=True))
+    yield apply_transaction(coordinator.decide_next_change(2.0, document, sessions))
     proposal = {
         "base_version": 1,
         "author": "operator",
@@ -345,109 +365,113 @@
         "timeout_ms": 60000.0,
         "removed_names": ["b"],
     }
-    yield taken(chair.propose(document, POLICY_TEXT % 2, **proposal))
-    yield taken(chair.abort(document, "operator"))
-    yield taken(chair.propose(document, POLICY_TEXT % 3, **proposal))
-    for word in ("a.01", "b.02"):
-        change = record.read_policy(document).change
-        chair.record_vote(word, PolicyVote(wants_permit=True, change_id=change.id))
-    yield taken(chair.decide_next_change(3.0, document, sessions))
+    yield apply_transaction(coordinator.propose(document, POLICY_TEXT % 2, **proposal))
+    yield apply_transaction(coordinator.abort(document, "operator"))
+    yield apply_transaction(coordinator.propose(document, POLICY_TEXT % 3, **proposal))
+    for session in ("a.01", "b.02"):
+        change = records.read_policy(document).change
+        coordinator.record_vote(session, PolicyVote(wants_permit=True, change_id=change.id))
+    yield apply_transaction(coordinator.decide_next_change(3.0, document, sessions))
     workers = {"galway": [ListedWorker(1, 0.0, False)], "sligo": [ListedWorker(2, 5.5, False)]}
-    controller = ZoneController(ZoneLimits(1000.0), lambda: workers, lambda: WALL_MS + 2.5, "member-a", draw)
-    for do, name in (("leave", "galway"), ("hold", "sligo"), ("release", "sligo")):
-        order = msgspec.Raw(msgspec.json.encode(ZoneOrder(action=do, target=name, author="operator at a")))
-        yield taken(controller.handle_order(4.0, order, document, keeper)[0])
-    deal = state.FeederAssignment(
+    controller = ZoneController(
+        ZoneLimits(1000.0), lambda: workers, lambda: WALL_MS + 2.5, "member-a", next_id
+    )
+    for action, zone in (("leave", "galway"), ("hold", "sligo"), ("release", "sligo")):
+        order = msgspec.Raw(
+            msgspec.json.encode(ZoneOrder(action=action, target=zone, author="operator at a"))
+        )
+        yield apply_transaction(controller.handle_order(4.0, order, document, leader)[0])
+    assignment = state.FeederAssignment(
         number=document.revision, sessions=["a.01", "b.02"], previous_sessions=["a.01"], in_force=False
     )
-    yield taken(
+    yield apply_transaction(
         Transaction(
-            draw(),
-            {state.ASSIGNMENT_KEY: state.encode_value(deal)},
+            next_id(),
+            {state.ASSIGNMENT_KEY: state.encode_value(assignment)},
             document.current_revisions(state.ASSIGNMENT_KEY),
         )
     )
 
 
 def write_store(path: Path) -> None:
-    """One member's folder, with the fleet's document, claims and settings, as they came one after another."""
-    held = _HeldValues()
+    """Writes the folder of one member: every value of the document, the claims and the settings, in order."""
+    store = _ValueHistory()
     with _fixed_clock():
-        asyncio.run(_claims_and_settings(held))
-    held.values[DOCUMENT_KEY] = [document_text(each) for each in _transactions()]
-    disk = RegisterLog(str(path))
-    acceptor, counter = Acceptor(disk), itertools.count(1)
-    for key, values in held.values.items():
+        asyncio.run(_claims_and_settings(store))
+    store.values[DOCUMENT_KEY] = [encode_document(each) for each in _transactions()]
+    register_log = RegisterLog(str(path))
+    acceptor, counter = Acceptor(register_log), itertools.count(1)
+    for key, values in store.values.items():
         for value in values:
             ballot = (next(counter), "member-a")
             acceptor.handle_message(Prepare(1, key, ballot))
             acceptor.handle_message(Accept(2, key, ballot, value))
     acceptor.handle_message(Prepare(3, DOCUMENT_KEY, (next(counter), "member-b")))
-    _close(disk)
+    _close_log(register_log)
     _tear_last_line(path)
 
 
 def _tear_last_line(path: Path) -> None:
-    """A crash while a register was being saved."""
+    """Appends part of a line, as a crash during a write leaves it."""
     with open(path / "registers.log", "ab") as log:
         log.write(b'{"key":"flee')
 
 
-def _close(disk: RegisterLog) -> None:
-    disk.log_file.close()
-    disk.lock_file.close()
+def _close_log(register_log: RegisterLog) -> None:
+    register_log.log_file.close()
+    register_log.lock_file.close()
 
 
 def read_store(path: Path) -> dict[str, Any]:
-    """All that a member finds in its folder; opening writes it anew without what was overwritten."""
-    disk = RegisterLog(str(path))
-    registers = dict(disk.registers)
-    _close(disk)
-    document = document_of(registers[DOCUMENT_KEY].value)
+    """Returns what a member reads from its folder. Opening rewrites the file without superseded values."""
+    register_log = RegisterLog(str(path))
+    registers = dict(register_log.registers)
+    _close_log(register_log)
+    document = decode_document(registers[DOCUMENT_KEY].value)
     claims = {
         key: msgspec.json.decode(each.value, type=Claim) for key, each in registers.items() if "/" in key
     }
     settings = msgspec.json.decode(registers["settings"].value, type=SharedSettings)
-    keeper = Leader("member-a", 900.0, SimpleNamespace(), 0.0, lambda: 0.5)
-    keeper.document = document
+    leader = Leader("member-a", 900.0, SimpleNamespace(), 0.0, lambda: 0.5)
+    leader.document = document
     return plain(
         {
             "registers": registers,
             "document": document,
             "claims": claims,
             "settings": settings,
-            "keeps": keeper.leadership(),
-            "ours": keeper.is_leader(),
+            "keeps": leader.leadership(),
+            "ours": leader.is_leader(),
             "zones": state.read_fleet_zones(document),
-            "policy": record.read_policy(document),
+            "policy": records.read_policy(document),
             "keys": [
                 DOCUMENT_KEY,
                 LEADERSHIP_KEY,
                 state.ZONE_KEY_PREFIX,
                 state.ASSIGNMENT_KEY,
                 state.HISTORY_KEY,
-                *record.FIELDS_BY_KEY,
+                *records.FIELDS_BY_KEY,
             ],
         }
     )
 
 
-def taken_claims() -> dict[str, Any]:
-    """What claims and settings come to, and each value that their keys had."""
-    held = _HeldValues()
+def write_claims() -> dict[str, Any]:
+    """Claims requests and agrees on settings; returns the results and each value that the keys had."""
+    store = _ValueHistory()
     with _fixed_clock():
-        found = asyncio.run(_claims_and_settings(held))
-    return plain({"found": found, "values": held.values})
+        results = asyncio.run(_claims_and_settings(store))
+    return plain({"found": results, "values": store.values})
 
 
 # -- the policy
 
 
-def _version(number: int) -> record.PolicyVersion:
+def _policy_version(number: int) -> records.PolicyVersion:
     text = POLICY_TEXT % number
-    return record.PolicyVersion(
+    return records.PolicyVersion(
         number=number,
-        digest=record.policy_digest(text),
+        digest=records.policy_digest(text),
         text=text,
         author="operator",
         reason="more room",
@@ -455,42 +479,48 @@
     )
 
 
-def _close_kept(kept: PolicyCache) -> None:
-    kept.lock_file.close()
+def _close_cache(cache: PolicyCache) -> None:
+    cache.lock_file.close()
 
 
 def write_policy(path: Path) -> None:
-    with patch("spanwing.policy.policy_cache.current_boot_id", lambda: BOOT):
-        kept = PolicyCache(str(path))
+    """Writes the policy cache of a scheduler: three versions and, one after the other, two permits."""
+    with patch("spanwing.policy.policy_cache.current_boot_id", lambda: BOOT_ID):
+        cache = PolicyCache(str(path))
         for number in (1, 2, 3):
-            kept.store_version(_version(number))
-        kept.store_permit(2, 5000.5)
-        kept.store_permit(3, 6000.5)
-        _close_kept(kept)
+            cache.store_version(_policy_version(number))
+        cache.store_permit(2, 5000.5)
+        cache.store_permit(3, 6000.5)
+        _close_cache(cache)
 
 
 def read_policy(path: Path) -> dict[str, Any]:
-    """What a scheduler may start with, in the boot of the permit and in another one."""
-    kept = PolicyCache(str(path))
-    with patch("spanwing.policy.policy_cache.current_boot_id", lambda: BOOT):
-        here = kept.load_permit()
+    """Returns what a scheduler reads at its start, in the boot of the permit and after a reboot."""
+    cache = PolicyCache(str(path))
+    with patch("spanwing.policy.policy_cache.current_boot_id", lambda: BOOT_ID):
+        same_boot = cache.load_permit()
     with patch("spanwing.policy.policy_cache.current_boot_id", lambda: "another"):
-        elsewhere = kept.load_permit()
-    _close_kept(kept)
+        other_boot = cache.load_permit()
+    _close_cache(cache)
     return plain(
-        {"versions": kept.versions, "skipped": kept.skipped_files, "permit": here, "elsewhere": elsewhere}
+        {
+            "versions": cache.versions,
+            "skipped": cache.skipped_files,
+            "permit": same_boot,
+            "elsewhere": other_boot,
+        }
     )
 
 
-# -- what the status commands show of the document
+# -- the status commands
 
 
 def status() -> dict[str, Any]:
-    """The JSON that operators see, with its names, from the document that write_store() leaves."""
+    """Returns the JSON of the status commands for the document that write_store() writes last."""
     document = list(_transactions())[-1]
-    fleet, policy, lease = state.read_fleet_zones(document), record.read_policy(document), Lease()
+    fleet, policy, lease = state.read_fleet_zones(document), records.read_policy(document), Lease()
     lease.expires_at_ms = 1e18
-    local = SimpleNamespace(
+    agent = SimpleNamespace(
         fleet=fleet,
         evidence_collector=SimpleNamespace(
             evidence_by_zone=lambda now: {"galway": ZoneEvidence(healthy_workers=[1], faulty_workers=[2, 3])}
@@ -507,27 +537,30 @@
         has_lease=lambda: True,
     )
     zones = SimpleNamespace(
-        agent=local,
+        agent=agent,
         follower=follower,
         zone_settings=SimpleNamespace(regions={"west": ("galway", "sligo")}),
         document_service=SimpleNamespace(leader=SimpleNamespace(rejected_renewals=2)),
         may_forward=lambda worker: worker > 2,
     )
-    hand = PolicyParticipant("a.01", lambda text: "", lease)
-    hand.update_policy(0.0, policy)
-    core = SimpleNamespace(scheduler_by_request={"job-1": 1})
-    side = SimpleNamespace(
-        active_version=_version(1), participant=hand, follower=follower, request_manager=core
+    participant = PolicyParticipant("a.01", lambda text: "", lease)
+    participant.update_policy(0.0, policy)
+    request_manager = SimpleNamespace(scheduler_by_request={"job-1": 1})
+    service = SimpleNamespace(
+        active_version=_policy_version(1),
+        participant=participant,
+        follower=follower,
+        request_manager=request_manager,
     )
-    shown = PolicyService.status(side)
-    del shown["permit_ms"]  # counted by the machine's clock
+    policy_status = PolicyService.status(service)
+    del policy_status["permit_ms"]  # depends on the clock
     return {
         "zones": ZoneService.status(zones),
         "zones history": ZoneService.history(zones),
-        "policy": shown,
-        "policy history": PolicyService.history(side),
+        "policy": policy_status,
+        "policy history": PolicyService.history(service),
     }
 
 
-WRITTEN = {"journal": write_journal, "store": write_store, "policy": write_policy}
-OPENED = {"journal": read_journal, "store": read_store, "policy": read_policy}
+WRITERS = {"journal": write_journal, "store": write_store, "policy": write_policy}
+READERS = {"journal": read_journal, "store": read_store, "policy": read_policy}
--- a/tests/golden_messages.py
+++ b/tests/golden_messages.py
@@ -438,7 +438,7 @@
     return job
 
 
-def taken_over(workers: bytes, module: bytes) -> tuple[bytes, bytes]:
+def transfer_state(workers: bytes, module: bytes) -> tuple[bytes, bytes]:
     """The state of a fresh module after it took over these two messages, told on in the same form."""
     told, of_all = messages.decode_message(workers), messages.decode_message(module)
     fresh = Scheduler(_dispatcher().settings, 2, 0.0)
@@ -532,7 +532,7 @@
     }
 
 
-def settings_read(text: bytes) -> list[Any]:
+def read_settings(text: bytes) -> list[Any]:
     """What the module is told at its start, from a policy's text, by position."""
     made = settings.scheduler_settings(msgspec.json.decode(text, type=settings.PlatformSettings))
     return [
@@ -564,7 +564,7 @@
 }
 
 
-def kinds_without_form() -> set[str]:
+def structs_without_message() -> set[str]:
     """Structs of the golden modules of which no object stands in the tables."""
     defined = {
         each
--- a/tests/make_golden_files.py
+++ b/tests/make_golden_files.py
@@ -1,8 +1,8 @@
-"""Writes golden files that are not there yet, from the program as it is; run by hand, and never by a test.
+"""Writes the golden files that do not exist yet, from the current program. Run by hand, never by a test.
 
-    python tests/golden_make.py
+    python tests/make_golden_files.py
 
-A golden file is what an earlier program stored or sent. It is never written anew: this refuses to touch one.
+A golden file holds what an earlier version stored or sent, so an existing file is never replaced.
 """
 
 from __future__ import annotations
@@ -17,78 +17,92 @@
 sys.path[:0] = [str(Path(__file__).parent), str(Path(__file__).parent.parent)]
 
 import golden_folders  # noqa: E402
-from golden_files import ANSWERS, FOLDERS, FORMS, TOLERANCE, copied, folder_bytes, forms, tolerance  # noqa: E402
-from golden_messages import SUBJECTS, settings_read  # noqa: E402
-
-
-def _new(path: Path, text: str) -> None:
+from golden_files import (  # noqa: E402
+    ANSWERS,
+    FOLDERS,
+    FORMS,
+    TOLERANCE,
+    copy_folder,
+    folder_bytes,
+    measure_tolerance,
+    read_messages,
+)
+from golden_messages import SUBJECTS, read_settings  # noqa: E402
+
+
+def _write_new(path: Path, text: str) -> None:
+    """Writes a file unless it exists."""
     if path.exists():
-        print(f"{path.name} is there and stays as it is")
+        print(f"{path.name} exists and is not changed")
         return
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_text(text)
 
 
-def _line(name: str, data: bytes, binary: bool) -> str:
+def _tsv_line(name: str, data: bytes, binary: bool) -> str:
+    """Returns the line of a file under tests/golden/forms: name, encoding and data, separated by tabs."""
     return f"{name}\t" + (f"hex\t{data.hex()}" if binary else f"text\t{data.decode()}") + "\n"
 
 
 def make_forms() -> None:
+    """Writes the encoded objects of each subject and the tolerance of their decoders."""
     for subject, each in SUBJECTS.items():
-        coded = {name: each.encode(value) for name, value in each.objects.items()}
-        _new(
-            FORMS / f"{subject}.tsv", "".join(_line(name, data, each.binary) for name, data in coded.items())
+        encoded = {name: each.encode(value) for name, value in each.objects.items()}
+        _write_new(
+            FORMS / f"{subject}.tsv",
+            "".join(_tsv_line(name, data, each.binary) for name, data in encoded.items()),
         )
-        taken = {
-            name: tolerance(
+        tolerance = {
+            name: measure_tolerance(
                 data,
                 each.binary,
                 lambda data, name=name, each=each: each.decode(data, type(each.objects[name])),
             )
-            for name, data in coded.items()
+            for name, data in encoded.items()
         }
-        _new(TOLERANCE / f"{subject}.json", json.dumps(taken, indent=1) + "\n")
+        _write_new(TOLERANCE / f"{subject}.json", json.dumps(tolerance, indent=1) + "\n")
 
 
-def _new_folder(path: Path, write: Callable[[Path], object]) -> None:
-    """With all that is written into a folder but its lock."""
+def _write_new_folder(path: Path, write: Callable[[Path], object]) -> None:
+    """Creates a folder, unless it exists, with the files that `write` produces, except the lock file."""
     if path.exists():
-        print(f"{path.name} is there and stays as it is")
+        print(f"{path.name} exists and is not changed")
         return
-    with tempfile.TemporaryDirectory() as made:
-        write(Path(made))
+    with tempfile.TemporaryDirectory() as target:
+        write(Path(target))
         path.mkdir(parents=True)
-        for name, data in folder_bytes(Path(made)).items():
+        for name, data in folder_bytes(Path(target)).items():
             (path / name).write_bytes(data)
 
 
 def make_folders() -> None:
-    """The folders first, then what is read from them, from copies."""
-    own = golden_folders
-    for subject, write in own.WRITTEN.items():
-        _new_folder(FOLDERS / subject / "written", write)
-    read = {}
+    """Writes the golden folders, then the answers read from copies of them."""
+    maker = golden_folders
+    for subject, write in maker.WRITERS.items():
+        _write_new_folder(FOLDERS / subject / "written", write)
+    answers = {}
     with tempfile.TemporaryDirectory() as place:
-        for subject, open_it in own.OPENED.items():
-            copy = copied(subject, Path(place) / subject)
-            read[subject] = open_it(copy)
+        for subject, read in maker.READERS.items():
+            copy = copy_folder(subject, Path(place) / subject)
+            answers[subject] = read(copy)
             if folder_bytes(copy) != folder_bytes(FOLDERS / subject / "written"):
-                _new_folder(
+                _write_new_folder(
                     FOLDERS / subject / "opened",
-                    lambda made, copy=copy: shutil.copytree(copy, made, dirs_exist_ok=True),
+                    lambda target, copy=copy: shutil.copytree(copy, target, dirs_exist_ok=True),
                 )
-        copy = copied("journal", Path(place) / "restart")
-        read["journal, restarted"] = own.restart_journal(copy)
-        _new_folder(
-            FOLDERS / "journal" / "restarted", lambda made: shutil.copytree(copy, made, dirs_exist_ok=True)
+        copy = copy_folder("journal", Path(place) / "restart")
+        answers["journal, restarted"] = maker.restart_journal(copy)
+        _write_new_folder(
+            FOLDERS / "journal" / "restarted",
+            lambda target: shutil.copytree(copy, target, dirs_exist_ok=True),
         )
     for name, answer in {
-        **read,
-        "claims": own.taken_claims(),
-        "status": own.status(),
-        "settings": settings_read(forms("settings")["options full"]),
+        **answers,
+        "claims": maker.write_claims(),
+        "status": maker.status(),
+        "settings": read_settings(read_messages("settings")["options full"]),
     }.items():
-        _new(ANSWERS / f"{name}.json", json.dumps(answer, indent=1) + "\n")
+        _write_new(ANSWERS / f"{name}.json", json.dumps(answer, indent=1) + "\n")
 
 
 if __name__ == "__main__":
--- a/tests/test_golden_folders.py
+++ b/tests/test_golden_folders.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 
 import pytest
-from golden_files import ANSWERS, FOLDERS, answers, copied, folder_bytes
-from golden_folders import OPENED, WRITTEN, restart_journal, status, taken_claims
+from golden_files import ANSWERS, FOLDERS, copy_folder, folder_bytes, read_json
+from golden_folders import READERS, WRITERS, restart_journal, status, write_claims
 
 
 def golden(subject: str, which: str) -> dict[str, bytes]:
@@ -19,41 +19,41 @@
 
 
 def answer(name: str):
-    return answers(f"{ANSWERS.name}/{name}.json")
+    return read_json(f"{ANSWERS.name}/{name}.json")
 
 
 def as_json(value):
     return json.loads(json.dumps(value))
 
 
-@pytest.mark.parametrize("subject", WRITTEN)
+@pytest.mark.parametrize("subject", WRITERS)
 def test_the_same_events_write_the_same_folder(subject: str, tmp_path: Path) -> None:
-    WRITTEN[subject](tmp_path)
+    WRITERS[subject](tmp_path)
     assert folder_bytes(tmp_path) == golden(subject, "written")
 
 
-@pytest.mark.parametrize("subject", OPENED)
+@pytest.mark.parametrize("subject", READERS)
 def test_a_folder_is_read_as_it_was(subject: str, tmp_path: Path) -> None:
-    assert as_json(OPENED[subject](copied(subject, tmp_path / subject))) == answer(subject)
+    assert as_json(READERS[subject](copy_folder(subject, tmp_path / subject))) == answer(subject)
 
 
 @pytest.mark.parametrize(
     "subject, which", [("journal", "written"), ("store", "opened"), ("policy", "written")]
 )
 def test_opening_a_folder_leaves_what_it_left(subject: str, which: str, tmp_path: Path) -> None:
-    copy = copied(subject, tmp_path / subject)
-    OPENED[subject](copy)
+    copy = copy_folder(subject, tmp_path / subject)
+    READERS[subject](copy)
     assert folder_bytes(copy) == golden(subject, which)
 
 
 def test_the_journal_restarts_on_what_a_crash_left(tmp_path: Path) -> None:
-    copy = copied("journal", tmp_path / "journal")
+    copy = copy_folder("journal", tmp_path / "journal")
     assert as_json(restart_journal(copy)) == answer("journal, restarted")
     assert folder_bytes(copy) == golden("journal", "restarted")
 
 
 def test_claims_and_settings_are_taken_under_the_same_keys_and_values() -> None:
-    assert as_json(taken_claims()) == answer("claims")
+    assert as_json(write_claims()) == answer("claims")
 
 
 def test_the_status_has_the_same_names_and_values() -> None:
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -9,15 +9,30 @@
 import json
 
 import pytest
-from golden_files import ANSWERS, FORMS, GOLDEN, answers, forms, known_tolerance, shortened, tolerance
-from golden_messages import SUBJECTS, fields_left_at_default, kinds_without_form, settings_read, taken_over
+from golden_files import (
+    ANSWERS,
+    FORMS,
+    GOLDEN,
+    measure_tolerance,
+    read_json,
+    read_messages,
+    read_tolerance,
+    reduce_message,
+)
+from golden_messages import (
+    SUBJECTS,
+    fields_left_at_default,
+    read_settings,
+    structs_without_message,
+    transfer_state,
+)
 
 CASES = [
     pytest.param(subject, name, id=f"{subject}: {name}")
     for subject in SUBJECTS
     for name in SUBJECTS[subject].objects
 ]
-TOLERANCE = known_tolerance()
+TOLERANCE = read_tolerance()
 REFUSED = [line.split("\t") for line in (GOLDEN / "refused.tsv").read_text().splitlines()]
 
 
@@ -29,32 +44,34 @@
 def test_every_golden_form_has_an_object_and_every_object_a_form() -> None:
     assert {each.stem for each in FORMS.iterdir()} == set(SUBJECTS) == set(TOLERANCE)
     for subject, each in SUBJECTS.items():
-        assert list(forms(subject)) == list(each.objects) == list(TOLERANCE[subject])
+        assert list(read_messages(subject)) == list(each.objects) == list(TOLERANCE[subject])
 
 
 def test_every_struct_of_the_golden_modules_has_a_form() -> None:
-    assert kinds_without_form() == set()
+    assert structs_without_message() == set()
 
 
 @pytest.mark.parametrize("subject, name", CASES)
 def test_the_object_is_written_as_it_was(subject: str, name: str) -> None:
-    assert SUBJECTS[subject].encode(SUBJECTS[subject].objects[name]) == forms(subject)[name]
+    assert SUBJECTS[subject].encode(SUBJECTS[subject].objects[name]) == read_messages(subject)[name]
 
 
 @pytest.mark.parametrize("subject, name", CASES)
 def test_what_was_written_is_read_as_the_object(subject: str, name: str) -> None:
-    assert decoder(subject, name)(forms(subject)[name]) == SUBJECTS[subject].objects[name]
+    assert decoder(subject, name)(read_messages(subject)[name]) == SUBJECTS[subject].objects[name]
 
 
 @pytest.mark.parametrize("subject, name", CASES)
 def test_what_is_missing_or_more_is_taken_as_it_was(subject: str, name: str) -> None:
-    data, binary = forms(subject)[name], SUBJECTS[subject].binary
-    assert tolerance(data, binary, decoder(subject, name)) == TOLERANCE[subject][name]
+    data, binary = read_messages(subject)[name], SUBJECTS[subject].binary
+    assert measure_tolerance(data, binary, decoder(subject, name)) == TOLERANCE[subject][name]
 
 
 @pytest.mark.parametrize("subject, name", [each for each in CASES if each.values[1].endswith(" least")])
 def test_what_is_missing_has_its_default(subject: str, name: str) -> None:
-    for data in shortened(forms(subject)[name], SUBJECTS[subject].binary, TOLERANCE[subject][name]):
+    for data in reduce_message(
+        read_messages(subject)[name], SUBJECTS[subject].binary, TOLERANCE[subject][name]
+    ):
         assert decoder(subject, name)(data) == SUBJECTS[subject].objects[name]
 
 
@@ -71,11 +88,11 @@
 
 
 def test_a_module_takes_over_the_state_that_was_told() -> None:
-    golden = forms("handover-messages")
-    workers, module = taken_over(golden["state of workers"], golden["state of the module"])
+    golden = read_messages("handover-messages")
+    workers, module = transfer_state(golden["state of workers"], golden["state of the module"])
     assert (workers, module) == (golden["state of workers, told on"], golden["state of the module"])
 
 
 def test_a_policy_of_the_store_makes_the_same_settings() -> None:
-    made = settings_read(forms("settings")["options full"])
-    assert json.loads(json.dumps(made)) == answers(f"{ANSWERS.name}/settings.json")
+    made = read_settings(read_messages("settings")["options full"])
+    assert json.loads(json.dumps(made)) == read_json(f"{ANSWERS.name}/settings.json")
--- a/tests/test_golden_process.py
+++ b/tests/test_golden_process.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 import pytest
-from golden_compare import compare_json, form
+from golden_compare import compare_json, json_shape
 from player import ROOT, WAIT_TIMEOUT_S, Daemon, config, member
 from standins import Barrier, FaktoryClient, FaktoryWorker, HttpWorkers, read_http
 
@@ -164,10 +164,10 @@
     running.until_ready()
     health = "health" in tables
     for front in ("clients", *(("health",) if health else ())):
-        shown[f"{front} /counters"] = form(json.loads(running.get(front, "/counters")[2]))
+        shown[f"{front} /counters"] = json_shape(json.loads(running.get(front, "/counters")[2]))
     for target in ("/health", "/health/schedule-apply", "/health/nothing", "/live") if health else ():
         first, headers, body = running.get("health", target)
-        told = form(json.loads(body)) if headers.get("content-type", "").endswith("json") else body
+        told = json_shape(json.loads(body)) if headers.get("content-type", "").endswith("json") else body
         shown[f"health {target}"] = [first, sorted(headers), told]
     for target in ("/healthcheck", "/stats", "/nothing"):
         first, headers, body = running.get("management", target)
@@ -191,14 +191,16 @@
         "nothing",
     ):
         more = {"percent": 100.0} if do == "weight" else {}
-        shown[f"admin {do}"] = form(running.ask(do=do, **more))
-    shown["admin weight, no percent"] = form(running.ask(do="weight"))
-    shown["status --json"] = form(json.loads(running.command("status", "--json")))
+        shown[f"admin {do}"] = json_shape(running.ask(do=do, **more))
+    shown["admin weight, no percent"] = json_shape(running.ask(do="weight"))
+    shown["status --json"] = json_shape(json.loads(running.command("status", "--json")))
     for name in ("zones", "policy"):
         if name in tables:
             line = ("zones", "--json") if name == "zones" else ("policy", "status", "--json")
-            shown[" ".join(line)] = form(json.loads(running.command(*line)))
-            shown[f"{name} history --json"] = form(json.loads(running.command(name, "history", "--json")))
+            shown[" ".join(line)] = json_shape(json.loads(running.command(*line)))
+            shown[f"{name} history --json"] = json_shape(
+                json.loads(running.command(name, "history", "--json"))
+            )
     for target in (
         "list",
         "show/s1",
@@ -214,17 +216,17 @@
         "nothing",
     ):
         head, lines = running.page(f"/journal/{target}")
-        told = [form(json.loads(line)) if line.startswith("{") else line for line in lines]
+        told = [json_shape(json.loads(line)) if line.startswith("{") else line for line in lines]
         if target.endswith("csv"):
             told = lines[:1]
         shown[f"admin GET /journal/{target}"] = [
             head.split("\r\n"),
             [each for place, each in enumerate(told) if each not in told[:place]],
         ]
-    shown["SIGUSR1"] = form(running.until_counters())
+    shown["SIGUSR1"] = json_shape(running.until_counters())
     running.daemon.process.send_signal(signal.SIGTERM)
     with running.daemon.kill_on_timeout():
-        shown["SIGTERM"] = form(running.printed())
+        shown["SIGTERM"] = json_shape(running.printed())
     shown["exit"] = running.daemon.wait()[0]
     return shown
 
