--- a/tests/golden_messages.py
+++ b/tests/golden_messages.py
@@ -1,12 +1,12 @@
-"""The golden forms: which object each name stands for, and the codec that the program uses for it.
+"""The objects that the golden messages encode, by name, with the codec that the program uses for each.
 
-This file and golden_folders.py are the only places of these tests that use names of the program: a rename in
-the program is followed here, and never in tests/golden/. `full` sets every field to something other than its
-default, `least` only the fields that have none. Structs that go by position are built by keyword, or a swap
-of two fields would not be seen.
+Only this file and golden_folders.py use names of the program, so a rename in the program changes these two
+and nothing under tests/golden/. The `full` object of a struct sets every field to another value than its
+default, the `least` object only the fields without a default. Structs that are encoded by position are built
+by keyword; otherwise a swap of two fields would go unnoticed.
 
 To rename a field that is stored by name, keep its old name with msgspec.field(name=...); a class keeps its
-tag. Envelope is a dataclass, which has no such names: its fields are stored as they are called.
+tag. JobRequest is a dataclass, which has no such names: its fields are stored under their own names.
 """
 
 from __future__ import annotations
@@ -21,20 +21,15 @@
 from spanwing import settings
 from spanwing.core.messages import JobRequest
 from spanwing.discovery.client import DiscoveredEndpoints, DiscoveredWorker
-from spanwing.hot_restart import messages
-from spanwing.hot_restart import state_transfer as learned
+from spanwing.hot_restart import messages, state_transfer
 from spanwing.journal import records, snapshot
-from spanwing.policy import combined_controller as minds
-from spanwing.policy import coordinator as chair
-from spanwing.policy import policy_cache as kept
-from spanwing.policy import records as record
+from spanwing.policy import combined_controller, coordinator, policy_cache
+from spanwing.policy import records as policy_records
 from spanwing.scheduler import Scheduler
 from spanwing.scheduler_state import Attempt, Job, WorkerState
-from spanwing.store import claims, document, peer
-from spanwing.store import leader as keeper
+from spanwing.store import claims, document, leader, peer, shared_settings
 from spanwing.store import messages as store_messages
-from spanwing.store import shared_settings as shared
-from spanwing.zones import controller as steward
+from spanwing.zones import controller as zone_controller
 from spanwing.zones import evidence, state
 
 MODULES = (
@@ -42,28 +37,28 @@
     snapshot,
     store_messages,
     document,
-    keeper,
+    leader,
     claims,
-    shared,
+    shared_settings,
     state,
     evidence,
-    steward,
-    record,
-    chair,
-    minds,
-    kept,
+    zone_controller,
+    policy_records,
+    coordinator,
+    combined_controller,
+    policy_cache,
     messages,
     settings,
-)  # every struct that one of these defines has a golden form
-NOT_STORED = {
+)  # each struct that one of these modules defines needs a golden message
+NOT_ENCODED = {
     records.JournalRecord,
     state.FleetZones,
-    record.PolicyState,
-}  # a base, and what is made of a document
+    policy_records.PolicyState,
+}  # a base class, and values that are derived from a document
 
 
 class Subject(NamedTuple):
-    """Objects with one codec; `decode` may be one function for all, or find the type by the object's own."""
+    """Objects that share a codec. `decode` gets the data and the type of the object, which it may ignore."""
 
     encode: Callable[[Any], bytes]
     decode: Callable[[bytes, type], Any]
@@ -83,6 +78,7 @@
 
 
 def _peer_value(data: bytes, kind: type) -> Any:
+    """Decodes a message between members of the store with the decoder of its direction."""
     return (_RESPONSE if kind in _RESPONSES else _REQUEST).decode(data)
 
 
@@ -90,6 +86,7 @@
 
 
 def _journal_records() -> dict[str, Any]:
+    """Returns each kind of journal record; the `least` ones have the common fields alone."""
     request = {"request": "job-1", "wall_ms": 1700000000123.5, "mono_ms": 5000.25}
     life = {"request": "", "wall_ms": 1700000000000.0, "mono_ms": 4000.0}
     names = {
@@ -98,7 +95,7 @@
             life,
             {"name": "scheduler-a", "life": "0123456789abcdef", "certain": False},
         ),
-        "taken": (records.RequestAccepted, request, _TAKEN),
+        "taken": (records.RequestAccepted, request, _ACCEPTED_FIELDS),
         "intent": (
             records.AttemptIntent,
             request,
@@ -120,7 +117,7 @@
     return full | {f"{name} least": kind(**common) for name, (kind, common, _) in names.items()}
 
 
-_TAKEN = {
+_ACCEPTED_FIELDS = {
     "cls": "schedule-apply",
     "tenant": "corrib",
     "key": "key-1",
@@ -135,6 +132,7 @@
 
 
 def _store_messages() -> dict[str, Any]:
+    """Returns the messages between schedulers and members of the store."""
     own = store_messages
     ballot, raw = (4, "member-b"), msgspec.Raw
     return {
@@ -165,6 +163,7 @@
 
 
 def _store_values() -> dict[str, Any]:
+    """Returns the values that the store holds, and the registers that hold them."""
     register = store_messages.Register
     return {
         "register full": register("fleet", (4, "member-b"), (3, "member-a"), "value"),
@@ -175,13 +174,13 @@
         "document least": document.Document(),
         "txn full": document.Transaction("txn-1", {"deal": "x", "zone/galway": None}, {"deal": 4}),
         "txn least": document.Transaction("txn-1", {"deal": "x"}),
-        "keeps full": keeper.Leadership("member-a", 3),
+        "keeps full": leader.Leadership("member-a", 3),
         "claim full": claims.Claim("0123456789abcdef", "served"),
-        "shared full": shared.SharedSettings(3, '{"a":1}'),
+        "shared full": shared_settings.SharedSettings(3, '{"a":1}'),
     } | {f"claim {name}": claims.Claim("01", name) for name in ("claimed", "failed", "refused")}
 
 
-_ZONE_PAST = {
+_HISTORY_FIELDS = {
     "number": 9,
     "wall_ms": 1700000000123.5,
     "zone": "galway",
@@ -190,12 +189,13 @@
     "reason": "silent",
     "author": "member-a",
 }
-_WORDS = evidence.ZoneEvidence(
+_EVIDENCE = evidence.ZoneEvidence(
     healthy_workers=[1, 2], faulty_workers=[3], slots_in_flight=4.5, idle_slots=5.5
 )
 
 
 def _zones() -> dict[str, Any]:
+    """Returns the values of the zones in the document, in renewals and in orders."""
     return {
         "zone full": state.ZoneState(
             "returning", 2, 0.5, True, True, 3, "silent", "member-a", {"17": 1700000000123.5}
@@ -203,20 +203,23 @@
         "zone least": state.ZoneState(),
         "deal full": state.FeederAssignment(4, ["a.01"], ["b.02"], True),
         "deal least": state.FeederAssignment(4, ["a.01"]),
-        "past full": state.ZoneHistoryEntry(**_ZONE_PAST, share=0.25),
-        "past least": state.ZoneHistoryEntry(**_ZONE_PAST),
-        "words full": _WORDS,
+        "past full": state.ZoneHistoryEntry(**_HISTORY_FIELDS, share=0.25),
+        "past least": state.ZoneHistoryEntry(**_HISTORY_FIELDS),
+        "words full": _EVIDENCE,
         "words least": evidence.ZoneEvidence(healthy_workers=[1, 2], faulty_workers=[3]),
-        "report full": evidence.EvidenceReport(zones={"galway": _WORDS}),
-        "order full": steward.ZoneOrder("leave", "galway", 30.5, "operator at a"),
-        "order least": steward.ZoneOrder("return", "galway"),
+        "report full": evidence.EvidenceReport(zones={"galway": _EVIDENCE}),
+        "order full": zone_controller.ZoneOrder("leave", "galway", 30.5, "operator at a"),
+        "order least": zone_controller.ZoneOrder("return", "galway"),
     } | {f"zone {name}": state.ZoneState(name) for name in ("leaving", "left")}
 
 
 def _policy() -> dict[str, Any]:
-    version = record.PolicyVersion(3, "0123456789abcdef", '{"a":1}', "operator", "more room", 1700000000123.5)
-    change = record.PolicyChange("change-1", "closing", 60000.5, ["b.02"], 2)
-    past = record.PolicyHistoryEntry(
+    """Returns the values of the policy in the document, in renewals, in orders and in the policy cache."""
+    version = policy_records.PolicyVersion(
+        3, "0123456789abcdef", '{"a":1}', "operator", "more room", 1700000000123.5
+    )
+    change = policy_records.PolicyChange("change-1", "closing", 60000.5, ["b.02"], 2)
+    past = policy_records.PolicyHistoryEntry(
         number=3,
         wall_ms=1700000000123.5,
         taken=True,
@@ -226,20 +229,22 @@
     )
     return {
         "version full": version,
-        "version least": record.PolicyVersion(),
+        "version least": policy_records.PolicyVersion(),
         "change full": change,
-        "change least": record.PolicyChange("change-1", "asking", 60000.5),
+        "change least": policy_records.PolicyChange("change-1", "asking", 60000.5),
         "past full": past,
-        "says full": chair.PolicyVote(wants_permit=True, change_id="change-1", objection="no"),
-        "says least": chair.PolicyVote(),
-        "order full": minds.PolicyOrder("propose", '{"a":1}', 2, "operator at a", "more room", 30.5, ["b"]),
-        "order least": minds.PolicyOrder("abort"),
-        "order waits": minds.PolicyOrder("waits"),
-        "permit full": kept.CachedPermit(3, 5000.5, "0b0b0b0b-0000-4000-8000-000000000001"),
+        "says full": coordinator.PolicyVote(wants_permit=True, change_id="change-1", objection="no"),
+        "says least": coordinator.PolicyVote(),
+        "order full": combined_controller.PolicyOrder(
+            "propose", '{"a":1}', 2, "operator at a", "more room", 30.5, ["b"]
+        ),
+        "order least": combined_controller.PolicyOrder("abort"),
+        "order waits": combined_controller.PolicyOrder("waits"),
+        "permit full": policy_cache.CachedPermit(3, 5000.5, "0b0b0b0b-0000-4000-8000-000000000001"),
     }
 
 
-_SEEN = messages.WorkerEstimates(
+_ESTIMATES = messages.WorkerEstimates(
     worker_id=11,
     estimated_slots=4.5,
     slots_reported=True,
@@ -256,7 +261,7 @@
     relative_service_time=1.25,
     recent_work=[(50.5, 40.5)],
 )
-_NEVER_SEEN = messages.WorkerEstimates(
+_NEVER_OBSERVED = messages.WorkerEstimates(
     worker_id=12,
     estimated_slots=4.5,
     slots_reported=False,
@@ -273,10 +278,10 @@
     relative_service_time=1.0,
     recent_work=[],
 )
-_MEMBER = DiscoveredWorker(
+_WORKER_ENTRY = DiscoveredWorker(
     "worker-1", "127.0.0.1:4001", "galway", "large", 7, "leaving", 8.5, 1700000000123.5
 )
-_ENVELOPE = JobRequest(
+_JOB_REQUEST = JobRequest(
     "job-1",
     "schedule-apply",
     25000.5,
@@ -293,20 +298,21 @@
     "application/json",
     "platform",
 )
-_PASSED = messages.TransferredConnection(b"read already", True, True, "127.0.0.1:5001")
-_TRIED = messages.TransferredAttempt(
+_CONNECTION = messages.TransferredConnection(b"read already", True, True, "127.0.0.1:5001")
+_ATTEMPT = messages.TransferredAttempt(
     worker_id=11, forwarded_ms=1.5, is_open=False, started_ms=2.5, last_progress_ms=3.5, never_ran=True
 )
 
 
-def _handover() -> dict[str, Any]:
+def _hot_restart_messages() -> dict[str, Any]:
+    """Returns the messages between predecessor and successor of a hot restart."""
     own = messages
     plain = own.TransferredConnection(b"", False, False, "")
     return {
         "hello full": own.SuccessorHello(own.VERSION),
         "held full": own.ConnectionCounts(100, 200),
         "ready full": own.SuccessorReady(),
-        "workers full": own.WorkerEstimatesBatch([_MEMBER], [_SEEN, _NEVER_SEEN]),
+        "workers full": own.WorkerEstimatesBatch([_WORKER_ENTRY], [_ESTIMATES, _NEVER_OBSERVED]),
         "workers plain": own.WorkerEstimatesBatch([DiscoveredWorker("worker-1")], []),
         "learned full": own.SchedulerEstimates(
             7,
@@ -326,45 +332,63 @@
         "over full": own.AcceptingStopped(),
         "called full": own.ForwardedCallback("worker-1", "job-1", "done", b"body", (1.5, 2.5)),
         "called plain": own.ForwardedCallback("worker-1", "job-1", "started", b"", None),
-        "passed full": _PASSED,
+        "passed full": _CONNECTION,
         "moved full": own.TransferredRequest(
-            _PASSED, True, _ENVELOPE, 1.5, 2.5, True, True, 3, [_TRIED], "worker-1", "127.0.0.1:4001", 4.5
+            _CONNECTION,
+            True,
+            _JOB_REQUEST,
+            1.5,
+            2.5,
+            True,
+            True,
+            3,
+            [_ATTEMPT],
+            "worker-1",
+            "127.0.0.1:4001",
+            4.5,
         ),
         "moved least": own.TransferredRequest(
             plain, False, JobRequest("job-1", "schedule-apply", 1.5), 1.5, 2.5, False, False, 0, []
         ),
         "bye full": own.PredecessorDone(),
         "state of workers": own.WorkerEstimatesBatch(
-            [], [learned.export_worker(_view()), learned.export_worker(_unseen())]
+            [],
+            [
+                state_transfer.export_worker(_worker_state()),
+                state_transfer.export_worker(_unobserved_worker()),
+            ],
         ),
         "state of workers, told on": own.WorkerEstimatesBatch(
             [],
             [
-                msgspec.structs.replace(_SEEN, reserved_slots=0, foreign_slots=3.5, last_observed_ms=100.5),
-                _NEVER_SEEN,
+                msgspec.structs.replace(
+                    _ESTIMATES, reserved_slots=0, foreign_slots=3.5, last_observed_ms=100.5
+                ),
+                _NEVER_OBSERVED,
             ],
         ),
-        "state of the module": learned.export_scheduler(_dispatcher(), 7, "127.0.0.1:6001"),
+        "state of the module": state_transfer.export_scheduler(_scheduler(), 7, "127.0.0.1:6001"),
         "state of a job": own.TransferredRequest(
-            plain, False, _ENVELOPE, 1.5, 2.5, False, False, 1, learned.export_attempts(_job())
+            plain, False, _JOB_REQUEST, 1.5, 2.5, False, False, 1, state_transfer.export_attempts(_job())
         ),
     }
 
 
-def _parts() -> dict[str, Any]:
-    """What stands within the messages of the handover."""
+def _hot_restart_parts() -> dict[str, Any]:
+    """Returns the structs that the hot restart messages contain."""
     return {
-        "worker seen full": _SEEN,
-        "worker never seen": _NEVER_SEEN,
-        "tried full": _TRIED,
-        "member full": _MEMBER,
+        "worker seen full": _ESTIMATES,
+        "worker never seen": _NEVER_OBSERVED,
+        "tried full": _ATTEMPT,
+        "member full": _WORKER_ENTRY,
         "member least": DiscoveredWorker("worker-1"),
-        "envelope full": _ENVELOPE,
+        "envelope full": _JOB_REQUEST,
         "envelope least": JobRequest("job-1", "schedule-apply", 1.5),
     }
 
 
-def _view() -> WorkerState:
+def _worker_state() -> WorkerState:
+    """Returns the state of a worker with distinct values in the fields that a hot restart transfers."""
     view = WorkerState(
         entry=api.Worker(11),
         feeder_share=0.0,
@@ -391,22 +415,24 @@
     return view
 
 
-def _unseen() -> WorkerState:
+def _unobserved_worker() -> WorkerState:
+    """Returns the state of a worker that has not been observed yet."""
     return WorkerState(api.Worker(12), 0.0, 4.5)
 
 
-def _dispatcher() -> Scheduler:
+def _scheduler() -> Scheduler:
+    """Returns a scheduler with estimates that differ from those at its start."""
     cls = api.ServiceClass("schedule-apply", latency_objective_ms=300.0, deadline_ms=5000.0)
-    told = api.Settings(
+    scheduler_settings = api.Settings(
         (cls,), zone="galway", zones=("galway", "sligo"), tenants=(api.Tenant("corrib", 2.0),)
     )
-    module = Scheduler(told, 1, 1.5)
+    scheduler = Scheduler(scheduler_settings, 1, 1.5)
     (
-        module.mean_service_ms,
-        module.slots_by_kind,
-        module.fleet_utilization,
-        module.sticky_share,
-        module.acceptance_reported,
+        scheduler.mean_service_ms,
+        scheduler.slots_by_kind,
+        scheduler.fleet_utilization,
+        scheduler.sticky_share,
+        scheduler.acceptance_reported,
     ) = (
         [2.5],
         {"large": 4.5},
@@ -414,12 +440,13 @@
         0.25,
         True,
     )
-    ledger = module.token_accounts["corrib"]
-    ledger.earned, ledger.spent, ledger.burst_allowance = 1.5, 2.5, 3.5
-    return module
+    account = scheduler.token_accounts["corrib"]
+    account.earned, account.spent, account.burst_allowance = 1.5, 2.5, 3.5
+    return scheduler
 
 
 def _job() -> Job:
+    """Returns a job with one attempt, which has ended."""
     request = api.Request("job-1", "schedule-apply", 25000.0)
     job = Job(
         request, api.ServiceClass("schedule-apply", latency_objective_ms=300.0, deadline_ms=5000.0), 0, 1.5
@@ -427,7 +454,7 @@
     job.attempts.append(
         Attempt(
             job=job,
-            worker=_view(),
+            worker=_worker_state(),
             forwarded_ms=1.5,
             is_open=False,
             started_ms=2.5,
@@ -438,23 +465,26 @@
     return job
 
 
-def transfer_state(workers: bytes, module: bytes) -> tuple[bytes, bytes]:
-    """The state of a fresh module after it took over these two messages, told on in the same form."""
-    told, of_all = messages.decode_message(workers), messages.decode_message(module)
-    fresh = Scheduler(_dispatcher().settings, 2, 0.0)
-    learned.import_scheduler(fresh, of_all, 0.0)
-    views = []
-    for seen in told.estimates:
-        view = WorkerState(api.Worker(seen.worker_id), 0.0, 1.0)
-        learned.import_worker(view, seen, 100.5)
-        views.append(learned.export_worker(view))
+def transfer_state(workers: bytes, scheduler: bytes) -> tuple[bytes, bytes]:
+    """Imports two hot restart messages into a new scheduler; returns its state exported as such messages."""
+    batch, estimates = messages.decode_message(workers), messages.decode_message(scheduler)
+    successor = Scheduler(_scheduler().settings, 2, 0.0)
+    state_transfer.import_scheduler(successor, estimates, 0.0)
+    exported = []
+    for worker_estimates in batch.estimates:
+        worker_state = WorkerState(api.Worker(worker_estimates.worker_id), 0.0, 1.0)
+        state_transfer.import_worker(worker_state, worker_estimates, 100.5)
+        exported.append(state_transfer.export_worker(worker_state))
     return (
-        messages.encode_message(messages.WorkerEstimatesBatch([], views)),
-        messages.encode_message(learned.export_scheduler(fresh, of_all.revision, of_all.discovery)),
+        messages.encode_message(messages.WorkerEstimatesBatch([], exported)),
+        messages.encode_message(
+            state_transfer.export_scheduler(successor, estimates.revision, estimates.discovery)
+        ),
     )
 
 
 def _snapshot_parts() -> dict[str, Any]:
+    """Returns the structs of a journal snapshot."""
     attempt = snapshot.AttemptSnapshot(
         number=2,
         worker="worker-1",
@@ -466,11 +496,11 @@
         result="ok",
         is_closed_at_start=True,
     )
-    taken = records.RequestAccepted(request="job-1", wall_ms=1.5, mono_ms=2.5, **_TAKEN)
+    accepted = records.RequestAccepted(request="job-1", wall_ms=1.5, mono_ms=2.5, **_ACCEPTED_FIELDS)
     request = snapshot.RequestSnapshot(
         id="job-1",
         first_number=9,
-        accepted=taken,
+        accepted=accepted,
         answer="served",
         answered_ms=3.5,
         is_interrupted=True,
@@ -484,10 +514,10 @@
 
 
 def _settings() -> dict[str, Any]:
-    """What a policy's text in the store is read as, and the list of job workers in a settings file."""
+    """Returns the settings that a policy text holds, and the persisted list of a settings file."""
     own = settings
     cls = own.ClassSettings("bill", 300.5, 5000.5, 2.5, 0.5, 1.5, "keyed", "zone", 4000.5, True)
-    org = own.TenantSettings("corrib", 2.5)
+    tenant = own.TenantSettings("corrib", 2.5)
     report = own.ReportSettings(["rif", "q", "x0"], "header")
     permissions = own.PermissionSettings(True, True, True, 5, True, 900.5, 14000.5, 240.5)
     rules = own.RuleSettings(16.5, 500.5, 9000.5, 0.25, 10000.5, 3.5, 1000.5)
@@ -501,7 +531,7 @@
         zone="galway",
         zones=["galway", "sligo"],
         kinds=["small", "large"],
-        tenants=[org],
+        tenants=[tenant],
         over_quota_weight=0.5,
         tick_ms=1.5,
         discovery="subscribe",
@@ -514,7 +544,7 @@
     return {
         "class full": cls,
         "class least": own.ClassSettings("bill", 300.5, 5000.5),
-        "org full": org,
+        "org full": tenant,
         "report full": report,
         "report least": own.ReportSettings(),
         "permissions full": permissions,
@@ -525,21 +555,25 @@
         "specifics least": own.SpecificSettings(),
         "options full": options,
         "options least": own.PlatformSettings([]),
-        "member full": _MEMBER,
+        "member full": _WORKER_ENTRY,
         "member least": DiscoveredWorker("worker-1"),
-        "member list full": DiscoveredEndpoints(7, True, [_MEMBER]),
+        "member list full": DiscoveredEndpoints(7, True, [_WORKER_ENTRY]),
         "member list least": DiscoveredEndpoints(),
     }
 
 
 def read_settings(text: bytes) -> list[Any]:
-    """What the module is told at its start, from a policy's text, by position."""
-    made = settings.scheduler_settings(msgspec.json.decode(text, type=settings.PlatformSettings))
+    """Returns the settings that the scheduler gets from a policy text, by position."""
+    scheduler_settings = settings.scheduler_settings(
+        msgspec.json.decode(text, type=settings.PlatformSettings)
+    )
     return [
         [dataclasses.astuple(part) if dataclasses.is_dataclass(part) else part for part in value]
         if isinstance(value, tuple)
         else value
-        for value in (getattr(made, each.name) for each in dataclasses.fields(made))
+        for value in (
+            getattr(scheduler_settings, each.name) for each in dataclasses.fields(scheduler_settings)
+        )
     ]
 
 
@@ -558,35 +592,35 @@
     "settings": Subject(_json_bytes, _json_value, _settings()),
     "policy": Subject(_json_bytes, _json_value, _policy()),
     "handover-messages": Subject(
-        messages.encode_message, lambda data, _: messages.decode_message(data), _handover(), True
+        messages.encode_message, lambda data, _: messages.decode_message(data), _hot_restart_messages(), True
     ),
-    "handover-parts": Subject(msgspec.msgpack.encode, _msgpack_value, _parts(), True),
+    "handover-parts": Subject(msgspec.msgpack.encode, _msgpack_value, _hot_restart_parts(), True),
 }
 
 
 def structs_without_message() -> set[str]:
-    """Structs of the golden modules of which no object stands in the tables."""
+    """Returns the names of the structs of MODULES that have no object in SUBJECTS."""
     defined = {
         each
         for module in MODULES
         for each in vars(module).values()
         if isinstance(each, type) and issubclass(each, msgspec.Struct) and each.__module__ == module.__name__
     }
-    shown = {type(each) for subject in SUBJECTS.values() for each in subject.objects.values()}
-    return {each.__name__ for each in defined - shown - NOT_STORED}
+    covered = {type(each) for subject in SUBJECTS.values() for each in subject.objects.values()}
+    return {each.__name__ for each in defined - covered - NOT_ENCODED}
 
 
 def fields_left_at_default(value: Any) -> list[str]:
-    """Names of the fields of one object that have their default."""
+    """Returns the names of the fields of an object that are equal to their default."""
     if isinstance(value, msgspec.Struct):
-        found = []
+        names = []
         for each in msgspec.structs.fields(value):
             default = (
                 each.default_factory() if each.default_factory is not msgspec.NODEFAULT else each.default
             )
             if each.default is not msgspec.NODEFAULT or each.default_factory is not msgspec.NODEFAULT:
-                found += [each.name] if getattr(value, each.name) == default else []
-        return found
+                names += [each.name] if getattr(value, each.name) == default else []
+        return names
     return [
         each.name
         for each in dataclasses.fields(value)
--- a/tests/test_golden_restart.py
+++ b/tests/test_golden_restart.py
@@ -1,7 +1,7 @@
-"""A daemon starts on what an earlier one left, killed, in its folders: tests/golden/folder.
+"""Starts a daemon on the folders of an earlier daemon that was killed: tests/golden/folder.
 
-That one had the tables journal, store, zones and policy. Of its jobs, all of a class that must not run twice,
-one had ended well, one had failed, and one was sent and had not ended.
+The earlier daemon had the tables journal, store, zones and policy. Its jobs were all of a non-idempotent
+class: one had succeeded, one had failed, and one was sent and had not ended.
 """
 
 from __future__ import annotations
@@ -12,56 +12,57 @@
 import pytest
 from golden_compare import GOLDEN
 from standins import Barrier, FaktoryClient, FaktoryWorker
-from test_golden_process import FRONTS, Running
+from test_golden_process import FRONTS, RunningDaemon
 
 
 @pytest.fixture
 def running(monkeypatch):
-    started = Running(
+    started = RunningDaemon(
         (*FRONTS, "journal", "store", "zones", "policy"),
         "folder",
-        lambda where: shutil.copytree(GOLDEN / "folder", where, dirs_exist_ok=True),
+        lambda folder: shutil.copytree(GOLDEN / "folder", folder, dirs_exist_ok=True),
     )
     yield started
     started.close()
 
 
-def test_no_job_of_an_earlier_daemon_runs_again(running) -> None:
-    fetched = Barrier(1)
-    FaktoryWorker(running.daemon, "f0", 1, ["schedule-apply"], fetched)
-    pushed = FaktoryClient(running.daemon)
-    told = {}
+def test_jobs_of_the_earlier_daemon_do_not_run_again(running) -> None:
+    barrier = Barrier(1)
+    FaktoryWorker(running.daemon, "f0", 1, ["schedule-apply"], barrier)
+    client = FaktoryClient(running.daemon)
+    replies = {}
     for job in ("job-done", "job-failing", "job-left-open", "job-new-one"):
-        given = {"jid": job, "jobtype": "schedule-apply", "queue": "schedule-apply", "args": ["done"]}
-        told[job] = pushed.ask("PUSH", json.dumps({**given, "custom": {"answer": "outcome"}}))
-    pushed.close()
-    assert told == {
+        payload = {"jid": job, "jobtype": "schedule-apply", "queue": "schedule-apply", "args": ["done"]}
+        replies[job] = client.ask("PUSH", json.dumps({**payload, "custom": {"answer": "outcome"}}))
+    client.close()
+    assert replies == {
         "job-done": "+OK",
         "job-failing": "-ERR failed",
         "job-left-open": "-REPEATED sent to f0 at 2026-12-02T05:41:53.667+00:00, before a crash; "
         "its outcome is not known",
         "job-new-one": "+OK",
     }
-    assert fetched.missing_count == 0  # one job went to a worker, the new one
+    assert barrier.missing_count == 0  # only the new job went to a worker
 
 
-def test_the_journal_and_the_policy_are_those_of_the_earlier_daemon(running) -> None:
-    said = running.daemon.said()
-    assert "possibly_sent request=job-left-open" in said, said
-    assert "skipped" not in said and "Traceback" not in said, said
-    shown = {
+def test_journal_and_policy_of_the_earlier_daemon_are_read(running) -> None:
+    stderr = running.daemon.said()
+    assert "possibly_sent request=job-left-open" in stderr, stderr
+    assert "skipped" not in stderr and "Traceback" not in stderr, stderr
+    rows_by_job = {
         job: [json.loads(line) for line in running.page(f"/journal/show/{job}")[1]]
         for job in ("job-done", "job-failing", "job-left-open")
     }
     states = {
-        job: [(each["state"], each["result"], each["answer"]) for each in rows] for job, rows in shown.items()
+        job: [(each["state"], each["result"], each["answer"]) for each in rows]
+        for job, rows in rows_by_job.items()
     }
     assert states == {
         "job-done": [("sent", "ok", "served")],
         "job-failing": [("sent", "error", "failed")],
         "job-left-open": [("sent", "", "")],
     }
-    kept = json.loads((GOLDEN / "folder" / "policy" / "version-1.json").read_text())
+    cached = json.loads((GOLDEN / "folder" / "policy" / "version-1.json").read_text())
     policy = running.ask(do="policy")
-    assert (policy["version"], policy["digest"]) == (kept["number"], kept["digest"])
-    assert json.loads(running.ask(do="policy_text", version=1)["text"]) == json.loads(kept["text"])
+    assert (policy["version"], policy["digest"]) == (cached["number"], cached["digest"])
+    assert json.loads(running.ask(do="policy_text", version=1)["text"]) == json.loads(cached["text"])
