--- a/tests/test_decider_digests.py
+++ b/tests/test_decider_digests.py
@@ -1,9 +1,10 @@
-"""Digests of what the other pure deciders make of seeded inputs, against a recorded file.
+"""Compares digests of seeded runs of zones, policy, health and scenarios with recorded ones.
 
-The fleet's zones (evidence, verdict, steward, gate, local: whole simulated fleets, and directed draws), the
-fleet's policy (chair and hand: random walks), health (weight, signals, drain) and the model of the fleet.
-Hashed are words, numbers and documents that cross processes, never the name of a class or of a field of the
-program. Names of the program stand in the first block alone.
+The groups cover the evidence collector, the failure detector, the controller, the routing filter and whole
+simulated fleets of the zones, random walks of the policy's coordinator and participant, the state machine
+of health, and the first seconds of scenarios. Hashed are words, numbers and documents that leave the process,
+and no names of classes or fields, so that a rename changes no digest. Group names and random seeds are those
+of the recorded file. Names of the program are used only in the first part of this file.
 
     .venv/bin/python tests/test_decider_digests.py --write     # by hand; the test never writes
 """
@@ -22,7 +23,7 @@
 if __name__ == "__main__":
     sys.path.insert(0, str(Path(__file__).parent.parent))
 
-# -- names of the program: all of them, and nowhere else in this file
+# -- names of the program, only in this part of the file
 import msgspec
 
 from measure import policymodel
@@ -47,7 +48,7 @@
 
 
 def plain(value: object) -> object:
-    """Positional values all the way down: of a tuple, a struct, a mapping in its order."""
+    """Returns nested lists of positional values for a tuple, a struct or a mapping in its order."""
     if isinstance(value, msgspec.Struct):
         return [plain(getattr(value, name)) for name in value.__struct_fields__]
     if isinstance(value, dict):
@@ -55,78 +56,97 @@
     return [plain(each) for each in value] if isinstance(value, (tuple, list)) else value
 
 
-def zone_fleet(seed: int, aim: str) -> list:
-    """Keepers, schedulers and job workers in simulated time, a zone lost and faults drawn."""
-    row = simulated.play(seed, aim=aim)
+def run_zone_fleet(seed: int, aim: str) -> list:
+    """Returns the result of a simulated fleet with store members, schedulers and workers that loses a zone.
+
+    The seed draws the faults. With `aim` "return" all faults occur during a long return of the zone.
+    """
+    result = simulated.play(seed, aim=aim)
     return [
-        row["how"],
-        row["missed"],
-        row["wrong"],
-        row["left_after"],
-        row["last"],
-        row["lasts"],
-        row["followed"],
-        row["opened"],
+        result["how"],
+        result["missed"],
+        result["wrong"],
+        result["left_after"],
+        result["last"],
+        result["lasts"],
+        result["followed"],
+        result["opened"],
     ]
 
 
-def evidence(seed: int) -> list:
-    """One scheduler's witness under drawn jobs and probes."""
-    rng, found, now = Random(f"evidence {seed}"), [], 0.0
-    witness, zone_of = (
+def run_evidence_collector(seed: int) -> list:
+    """Returns what an EvidenceCollector returns for random jobs and probes, and its reports."""
+    rng, results, now = Random(f"evidence {seed}"), [], 0.0
+    collector, zone_of = (
         EvidenceCollector(rng.choice(["", "a"])),
         {n: "abc"[n % 3] for n in range(1, 3000, 241)},
     )
     open_jobs: list[tuple] = []
-    results = ("ok", "ok", "ok", "full", "error", "reset", "unreachable", "timeout", "cancelled", "rejected")
+    attempt_results = (
+        "ok",
+        "ok",
+        "ok",
+        "full",
+        "error",
+        "reset",
+        "unreachable",
+        "timeout",
+        "cancelled",
+        "rejected",
+    )
     for number in range(600):
         now += rng.expovariate(1 / rng.choice([5.0, 60.0, 400.0]))
         roll, worker = rng.random(), rng.choice(list(zone_of))
         if roll < 0.4:
-            witness.attempt_sent(now, worker, zone_of[worker], (f"j{number}", 0))
+            collector.attempt_sent(now, worker, zone_of[worker], (f"j{number}", 0))
             open_jobs.append((worker, (f"j{number}", 0)))
         elif roll < 0.55 and open_jobs:
-            witness.attempt_accepted(now, *rng.choice(open_jobs))
+            collector.attempt_accepted(now, *rng.choice(open_jobs))
         elif roll < 0.75 and open_jobs:
             where, job = open_jobs.pop(rng.randrange(len(open_jobs)))
-            found.append(witness.attempt_ended(now, where, job, rng.choice(results)))
+            results.append(collector.attempt_ended(now, where, job, rng.choice(attempt_results)))
         elif roll < 0.9:
             result = rng.choice(["ok", "ok", "unreachable"])
-            found.append(witness.probe_finished(now, worker, zone_of[worker], result, rng.random() < 0.3))
+            results.append(collector.probe_finished(now, worker, zone_of[worker], result, rng.random() < 0.3))
         else:
             slots = [(zone, rng.uniform(0, 9), rng.uniform(0, 9)) for zone in "abd"]
-            found.append(plain(witness.build_report(now, slots if rng.random() < 0.5 else ())))
-    return found
+            results.append(plain(collector.build_report(now, slots if rng.random() < 0.5 else ())))
+    return results
 
 
-def verdicts(seed: int) -> list:
-    """What is made of drawn words on one zone."""
-    rng, found = Random(f"verdict {seed}"), []
+def run_zone_judge(seed: int) -> list:
+    """Returns the verdicts of judge_zone() on random evidence."""
+    rng, results = Random(f"verdict {seed}"), []
     for _ in range(300):
-        workers, bad = list(range(1, rng.choice([2, 4, 13, 61]))), rng.choice([0.1, 0.7, 0.8, 0.9, 1.0])
+        workers, faulty_share = (
+            list(range(1, rng.choice([2, 4, 13, 61]))),
+            rng.choice([0.1, 0.7, 0.8, 0.9, 1.0]),
+        )
         observers = []
         for _ in range(rng.choice([1, 2, 5, 9])):
-            words = {}
+            evidence_by_zone = {}
             for zone in rng.sample("abc", rng.choice([1, 2, 3, 3])):
-                seen = rng.sample(workers, rng.randrange(len(workers) + 1))
-                share = bad if zone == "a" else 0.1
-                down = [each for each in seen if rng.random() < share]
-                words[zone] = ZoneEvidence([each for each in seen if each not in down], down)
-            observers.append(Observer(rng.choice("abbcc"), words))
+                observed = rng.sample(workers, rng.randrange(len(workers) + 1))
+                share = faulty_share if zone == "a" else 0.1
+                faulty = [each for each in observed if rng.random() < share]
+                evidence_by_zone[zone] = ZoneEvidence(
+                    [each for each in observed if each not in faulty], faulty
+                )
+            observers.append(Observer(rng.choice("abbcc"), evidence_by_zone))
         verdict = judge_zone("a", observers, workers, rng.choice([1, 2, 5, 20]), rng.random() < 0.3)
-        found.append([*plain(verdict), str(verdict)])
-    return found
+        results.append([*plain(verdict), str(verdict)])
+    return results
 
 
-def gates(seed: int) -> list:
-    """Which workers one scheduler may use while zones leave and return and deals change."""
-    rng, found, now = Random(f"gate {seed}"), [], 0.0
+def run_routing_filter(seed: int) -> list:
+    """Returns the workers that a RoutingFilter admits while zones leave and return and feeders change."""
+    rng, results, now = Random(f"gate {seed}"), [], 0.0
     sessions = [f"s{n}" for n in range(6)]
-    gate = RoutingFilter(
+    routing_filter = RoutingFilter(
         RoutingRules("s1", "a", 8000.0, 3000.0, rng.choice([1, 3]), rng.random() < 0.15),
         lambda worker: worker % 3 == 1,
     )
-    deal, number = None, 1
+    assignment, number = None, 1
     for _ in range(60):
         now += rng.uniform(10.0, 4000.0)
         clock, number = now + 100_000.0, number + 1
@@ -141,12 +161,14 @@
                 )
                 for n in range(1, 1 + count)
             )
-            gate.update_workers(
+            routing_filter.update_workers(
                 api.WorkerList(rng.choice(["complete", "partial", "error"]), workers), now, clock
             )
         if rng.random() < 0.3:
-            before = deal.sessions if deal is not None and rng.random() < 0.7 else []
-            deal = zones.FeederAssignment(number, rng.sample(sessions, 4), before, rng.random() < 0.6)
+            previous_sessions = assignment.sessions if assignment is not None and rng.random() < 0.7 else []
+            assignment = zones.FeederAssignment(
+                number, rng.sample(sessions, 4), previous_sessions, rng.random() < 0.6
+            )
         states = {
             zone: zones.ZoneState(
                 rng.choice(["open", "leaving", "left", "returning"]),
@@ -157,23 +179,29 @@
             )
             for zone in "ab"
         }
-        gate.update_zones(zones.FleetZones(states, {"a": number, "b": number}, deal, number, []), now, clock)
+        routing_filter.update_zones(
+            zones.FleetZones(states, {"a": number, "b": number}, assignment, number, []), now, clock
+        )
         lease = rng.random() < 0.7
-        found.append(
+        results.append(
             [
-                [gate.may_forward(n, now + wait, lease, clock + wait) for wait in (0.0, 6000.0)]
+                [routing_filter.may_forward(n, now + wait, lease, clock + wait) for wait in (0.0, 6000.0)]
                 for n in range(1, 9)
             ]
         )
-        found.append(
-            plain(gate.filter_workers(gate.workers.values(), now, lease, lambda worker: worker % 2 == 0))
+        results.append(
+            plain(
+                routing_filter.filter_workers(
+                    routing_filter.workers.values(), now, lease, lambda worker: worker % 2 == 0
+                )
+            )
         )
-        found += [gate.next_change_ms(now), gate.workers_by_zone()]
-    return plain(found)
+        results += [routing_filter.next_change_ms(now), routing_filter.workers_by_zone()]
+    return plain(results)
 
 
-class Contact:
-    """As much of a keeper as the steward asks of it: sessions, and what they have acknowledged, as drawn."""
+class RandomLeader:
+    """A stand-in for the leader with random leases and acknowledgements."""
 
     def __init__(self, rng: Random, sessions: list) -> None:
         self.rng, self.sessions = rng, {each.id: each for each in sessions}
@@ -188,14 +216,14 @@
         return self.rng.random() < 0.6
 
 
-def steward(seed: int) -> list:
-    """The changes that a keeper makes of drawn evidence and of orders, and the orders that it refuses."""
-    rng, found, now, document, draws = Random(f"steward {seed}"), [], 10_000.0, Document(), []
-    listed = {
+def run_zone_controller(seed: int) -> list:
+    """Returns the changes of a ZoneController on random evidence, and its replies to random orders."""
+    rng, results, now, document, ids = Random(f"steward {seed}"), [], 10_000.0, Document(), []
+    workers_by_zone = {
         zone: [ListedWorker(10 * place + n, 0.0, False) for n in range(rng.choice([1, 3, 6]))]
         for place, zone in enumerate("abc")
     }
-    bounds = ZoneLimits(
+    limits = ZoneLimits(
         5500.0,
         rng.choice([0.0, 4000.0]),
         6,
@@ -203,32 +231,34 @@
         rng.random() < 0.7,
         rng.random() < 0.2,
     )
-    mind = ZoneController(
-        bounds, lambda: listed, lambda: now, "me", lambda: draws.append(0) or f"t{len(draws)}"
+    controller = ZoneController(
+        limits, lambda: workers_by_zone, lambda: now, "me", lambda: ids.append(0) or f"t{len(ids)}"
     )
     sessions = [SchedulerSession(f"s{n}.0", "abc"[n % 3], n, now, 0) for n in range(6)]
-    keeper = Contact(rng, sessions)
-    bad = dict.fromkeys("abc", 0.0)
+    leader = RandomLeader(rng, sessions)
+    faulty_share = dict.fromkeys("abc", 0.0)
     for number in range(150):
         now += rng.choice([50.0, 300.0, 700.0])
         if number % 15 == 0:
-            bad[rng.choice("abc")] = rng.choice([0.0, 0.0, 0.6, 1.0])
+            faulty_share[rng.choice("abc")] = rng.choice([0.0, 0.0, 0.6, 1.0])
             zone = rng.choice("abc")
-            listed[zone] = [
+            workers_by_zone[zone] = [
                 each._replace(started_at_ms=rng.choice([0.0, now]), is_warming_up=rng.random() < 0.1)
-                for each in listed[zone]
+                for each in workers_by_zone[zone]
             ]
         for each in sessions if rng.random() < 0.8 else ():
-            words = {}
-            for zone, workers in listed.items():
-                down = [one.id for one in workers if rng.random() < bad[zone] and zone != each.zone]
-                words[zone] = [
-                    [one.id for one in workers if one.id not in down],
-                    down,
+            evidence_by_zone = {}
+            for zone, workers in workers_by_zone.items():
+                faulty = [
+                    one.id for one in workers if rng.random() < faulty_share[zone] and zone != each.zone
+                ]
+                evidence_by_zone[zone] = [
+                    [one.id for one in workers if one.id not in faulty],
+                    faulty,
                     rng.uniform(0, 9),
                     rng.uniform(0, 9),
                 ]
-            mind.record_evidence(now, each, msgspec.Raw(msgspec.json.encode([words])))
+            controller.record_evidence(now, each, msgspec.Raw(msgspec.json.encode([evidence_by_zone])))
         if rng.random() < 0.1:
             order = {
                 "do": rng.choice(["leave", "return", "hold", "release", "dance"]),
@@ -236,20 +266,22 @@
                 "over_s": rng.choice([0.0, 0.0, 3.0]),
             }
             try:
-                txn, said = mind.handle_order(now, msgspec.Raw(msgspec.json.encode(order)), document, keeper)
+                txn, reply = controller.handle_order(
+                    now, msgspec.Raw(msgspec.json.encode(order)), document, leader
+                )
             except ValueError as error:
-                txn, said = None, str(error)
-            found.append(said)
+                txn, reply = None, str(error)
+            results.append(reply)
         else:
-            txn = mind.decide_next_change(now, document, keeper)
-        found += [list(mind.zones_to_probe(now, keeper)), plain(txn)]
+            txn = controller.decide_next_change(now, document, leader)
+        results += [list(controller.zones_to_probe(now, leader)), plain(txn)]
         document = document if txn is None else document.apply(txn) or document
-    return plain(found)
+    return plain(results)
 
 
-def policy_walk(seed: int) -> list:
-    """Coordinator and participant in a random walk: the documents and what each may, after every step."""
-    rng, world, found = Random(f"policy {seed}"), policymodel.begun("", seed % 2 == 1), []
+def run_policy_model(seed: int) -> list:
+    """Returns the document and the admission decisions after each step of a random walk."""
+    rng, world, results = Random(f"policy {seed}"), policymodel.begun("", seed % 2 == 1), []
     for number in range(150):
         if number % 15 == 14:
             world.propose(())
@@ -257,23 +289,31 @@
         step = rng.choices(steps, [policymodel.WEIGHTS[name] for name, _ in steps])[0]
         world.do(step)
         entries = world.document.entries
-        found.append([*step, world.document.revision, [[key, entries[key].value] for key in sorted(entries)]])
-        found.append(
+        results.append(
+            [*step, world.document.revision, [[key, entries[key].value] for key in sorted(entries)]]
+        )
+        results.append(
             [
                 plain(each.hand.decide_admission(world.now + wait))
                 for each in world.schedulers
                 for wait in (0.0, 249.0, 250.0)
             ]
         )
-        keeper = world.members[world.keeps()]
-        found.append(sorted(keeper.chair.blocking_schedulers(world.now, keeper.document, keeper).items()))
-    return found
+        leader_member = world.members[world.keeps()]
+        results.append(
+            sorted(
+                leader_member.chair.blocking_schedulers(
+                    world.now, leader_member.document, leader_member
+                ).items()
+            )
+        )
+    return results
 
 
-def health(seed: int) -> list:
-    """What balancers are told under drawn samples and orders."""
-    rng, found, now = Random(f"health {seed}"), [], 100.0
-    health, answered, refused, signals = (
+def run_health_machine(seed: int) -> list:
+    """Returns what a HealthStateMachine announces to balancers for random signals and orders."""
+    rng, results, now = Random(f"health {seed}"), [], 100.0
+    machine, answered, rejected, signals = (
         HealthStateMachine(HealthSettings(), now),
         0,
         0,
@@ -282,7 +322,7 @@
     for number in range(600):
         now += rng.choice([0.05, 0.05, 0.05, 0.5, 3.0])
         if number % 12 == 0:
-            pressed = rng.choice([0.1, 0.3, 0.7, 1.0])
+            pressure = rng.choice([0.1, 0.3, 0.7, 1.0])
             classes = tuple(
                 ClassLoad(
                     name,
@@ -313,8 +353,8 @@
                 rng.random() < 0.97,
                 rng.choice([0, 0, 3]),
             )
-        demand = min(1.0, rng.uniform(0.5, 1.3) * pressed)
-        answered, refused = answered + rng.randrange(9), refused + rng.randrange(3)
+        demand = min(1.0, rng.uniform(0.5, 1.3) * pressure)
+        answered, rejected = answered + rng.randrange(9), rejected + rng.randrange(3)
         sample = [
             CpuUsage(
                 demand / 2,
@@ -325,37 +365,39 @@
             ),
             *list(signals)[1:4],
             answered,
-            refused,
+            rejected,
             *list(signals)[6:],
         ]
-        found.append(plain(health.observe(now, HealthSignals(*sample))))
+        results.append(plain(machine.observe(now, HealthSignals(*sample))))
         roll, source = rng.random(), rng.choice(["signal", "command", "store"])
         if roll < 0.01 and (source != "signal" or number > 500):
-            found.append(plain(health.drain(source, now, rng.choice([5.0, 30.0]))))
+            results.append(plain(machine.drain(source, now, rng.choice([5.0, 30.0]))))
         elif roll < 0.05:
-            found.append(plain(health.undrain(source, now)))
+            results.append(plain(machine.undrain(source, now)))
         elif roll < 0.06:
-            found.append(plain(health.set_weight(rng.choice([0, 40.0, 100.0, 100.0]), now)))
-        found.append([health.drain_orders.phase(at) for at in (now, health.drain_orders.notice_ends_at_s)])
-        found.append([health.drain_orders.earliest_deadline_s, health.drain_orders.notice_ends_at_s])
-    return found
+            results.append(plain(machine.set_weight(rng.choice([0, 40.0, 100.0, 100.0]), now)))
+        results.append(
+            [machine.drain_orders.phase(at) for at in (now, machine.drain_orders.notice_ends_at_s)]
+        )
+        results.append([machine.drain_orders.earliest_deadline_s, machine.drain_orders.notice_ends_at_s])
+    return results
 
 
-def scenario(name: str, seed: int, seconds: float, changes: str = "{}") -> list:
-    """The first seconds of a scenario's day: every answer, and where all requests were at the end."""
+def run_scenario(name: str, seed: int, seconds: float, changes: str = "{}") -> list:
+    """Returns the answers in the first seconds of a scenario, the request count per stage and the totals."""
     text = (resources.files("spanwing.simulation") / "scenarios" / f"{name}.toml").read_bytes()
-    day, answers = apply_changes(parse_scenario(text, ErrorCollector()), json.loads(changes)), []
-    plan = day.build_plan(seed)
+    parsed, answers = apply_changes(parse_scenario(text, ErrorCollector()), json.loads(changes)), []
+    plan = parsed.build_plan(seed)
 
-    def told(answered: object) -> None:
+    def record_answer(answered: object) -> None:
         answers.append(plain(answered))
 
-    if day.has_zone_leader:
-        regions = {region: tuple(each) for region, each in day.regions.items()}
-        fleet = LeaderFleet(plan, seed, told, regions=regions)
+    if parsed.has_zone_leader:
+        regions = {region: tuple(each) for region, each in parsed.regions.items()}
+        fleet = LeaderFleet(plan, seed, record_answer, regions=regions)
     else:
-        fleet = FleetSimulation(plan, seed, told)
-    FaultInjector(fleet, tuple(day.faults), day.day_ms)
+        fleet = FleetSimulation(plan, seed, record_answer)
+    FaultInjector(fleet, tuple(parsed.faults), parsed.day_ms)
     fleet.run(seconds * 1000.0)
     return [
         answers,
@@ -366,19 +408,19 @@
     ]
 
 
-# -- nothing below names anything of the program
+# -- no names of the program from here on
 
 GOLDEN = Path(__file__).parent / "golden" / "deciders.json"
 GROUPS = {
-    "evidence": [(evidence, seed) for seed in range(20)],
-    "verdict": [(verdicts, seed) for seed in range(10)],
-    "gate": [(gates, seed) for seed in range(20)],
-    "fleet": [(zone_fleet, seed, aim) for seed, aim in ((1, ""), (2, ""), (1, "return"))],
-    "steward": [(steward, seed) for seed in range(20)],
-    "policy": [(policy_walk, seed) for seed in range(20)],
-    "health": [(health, seed) for seed in range(20)],
+    "evidence": [(run_evidence_collector, seed) for seed in range(20)],
+    "verdict": [(run_zone_judge, seed) for seed in range(10)],
+    "gate": [(run_routing_filter, seed) for seed in range(20)],
+    "fleet": [(run_zone_fleet, seed, aim) for seed, aim in ((1, ""), (2, ""), (1, "return"))],
+    "steward": [(run_zone_controller, seed) for seed in range(20)],
+    "policy": [(run_policy_model, seed) for seed in range(20)],
+    "health": [(run_health_machine, seed) for seed in range(20)],
     "scenario": [
-        (scenario, name, 1, *more)
+        (run_scenario, name, 1, *more)
         for name, *more in (
             ("calm-day", 4.0),
             ("retry-storm", 10.0),
@@ -392,25 +434,25 @@
 
 
 def digests(group: str) -> dict[str, str]:
-    """Of one group, by what was drawn."""
+    """Returns the SHA-256 digests of a group by group name and arguments."""
     return {
-        " ".join([group, *map(str, given)]): hashlib.sha256(repr(make(*given)).encode()).hexdigest()
-        for make, *given in GROUPS[group]
+        " ".join([group, *map(str, arguments)]): hashlib.sha256(repr(run(*arguments)).encode()).hexdigest()
+        for run, *arguments in GROUPS[group]
     }
 
 
 @pytest.mark.parametrize("group", GROUPS)
-def test_every_decider_makes_what_was_recorded(group):
+def test_digests_are_unchanged(group):
     recorded = {
         name: value for name, value in json.loads(GOLDEN.read_text()).items() if name.split()[0] == group
     }
-    found = digests(group)
-    differ = [
-        name for name in sorted(found.keys() | recorded.keys()) if found.get(name) != recorded.get(name)
+    current = digests(group)
+    changed = [
+        name for name in sorted(current.keys() | recorded.keys()) if current.get(name) != recorded.get(name)
     ]
-    assert not differ, f"{len(differ)} of {len(recorded)} differ, the first: {', '.join(differ[:6])}"
+    assert not changed, f"{len(changed)} of {len(recorded)} changed, the first: {', '.join(changed[:6])}"
 
 
 if __name__ == "__main__" and sys.argv[1:] == ["--write"]:
-    made = {name: value for group in GROUPS for name, value in digests(group).items()}
-    GOLDEN.write_text(json.dumps(made, indent=0) + "\n")
+    digest_by_name = {name: value for group in GROUPS for name, value in digests(group).items()}
+    GOLDEN.write_text(json.dumps(digest_by_name, indent=0) + "\n")
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -1,4 +1,4 @@
-"""Each recording under tests/exchanges, played against the daemon."""
+"""Plays each recording under tests/exchanges against the daemon."""
 
 from __future__ import annotations
 
@@ -9,15 +9,16 @@
 
 
 class Exchanges(unittest.TestCase):
-    """One test for each recording."""
+    """Has one test per recording, named after its file."""
 
 
-def _test(path: Path):
+def _make_test(path: Path):
+    """Returns a test method that plays the recording."""
     return lambda self: Player(path).play()
 
 
 for recording in sorted((Path(__file__).parent / "exchanges").glob("*.txt")):
-    setattr(Exchanges, f"test_{recording.stem}", _test(recording))
+    setattr(Exchanges, f"test_{recording.stem}", _make_test(recording))
 
 if __name__ == "__main__":
     unittest.main()
