--- a/tests/golden_compare.py
+++ b/tests/golden_compare.py
@@ -1,7 +1,7 @@
 """Compares output of the program with golden files of an earlier version.
 
-With WRITE_GOLDEN=1 in the environment of the test run the files are written first. Changes that operators or
-scripts can see belong in CHANGELOG.md.
+A golden file is replaced only on purpose, by WRITE_GOLDEN=1 in the environment of the test run. Changes that
+operators or scripts can see belong in CHANGELOG.md.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
         path.parent.mkdir(parents=True, exist_ok=True)
         path.write_text(actual)
     assert actual == path.read_text(), (
-        f"output differs from {path.relative_to(GOLDEN.parent.parent)} (WRITE_GOLDEN=1 writes it)"
+        f"output differs from {path.relative_to(GOLDEN.parent.parent)} in at least one byte"
     )
 
 
 def compare_json(name: str, actual: Any) -> None:
     """Asserts that the file holds a JSON value, laid out with each list or object that fits on one line."""
-    compare_text(name, _laid_out(actual) + "\n")
+    compare_text(name, _format_json(actual) + "\n")
 
 
 def json_shape(value: Any) -> Any:
@@ -54,13 +54,16 @@
     return {int: "integer", float: "number"}[type(value)]
 
 
-def _laid_out(value: Any, depth: int = 0) -> str:
+def _format_json(value: Any, depth: int = 0) -> str:
+    """Returns JSON with each list or object on one line if it fits, indented by one space per level."""
     line = json.dumps(value, ensure_ascii=False)
     if len(line) + depth <= 110 or not isinstance(value, dict | list):
         return line
     pad, end = " " * (depth + 1), " " * depth
     if isinstance(value, list):
-        inner = ",\n".join(pad + _laid_out(each, depth + 1) for each in value)
+        inner = ",\n".join(pad + _format_json(each, depth + 1) for each in value)
         return f"[\n{inner}\n{end}]"
-    inner = ",\n".join(f"{pad}{json.dumps(key)}: {_laid_out(each, depth + 1)}" for key, each in value.items())
+    inner = ",\n".join(
+        f"{pad}{json.dumps(key)}: {_format_json(each, depth + 1)}" for key, each in value.items()
+    )
     return f"{{\n{inner}\n{end}}}"
--- a/tests/golden_folders.py
+++ b/tests/golden_folders.py
@@ -516,7 +516,7 @@
 
 
 def status() -> dict[str, Any]:
-    """Returns the JSON of the status commands for the document that write_store() writes last."""
+    """Returns the JSON of the status commands, by command, for the last document of write_store()."""
     document = list(_transactions())[-1]
     fleet, policy, lease = state.read_fleet_zones(document), records.read_policy(document), Lease()
     lease.expires_at_ms = 1e18
--- a/tests/player.py
+++ b/tests/player.py
@@ -177,7 +177,7 @@
 
 
 class Player:
-    """Plays one recording. A step that begins with a word calls the method do_WORD."""
+    """Plays one recording. The step WORD calls the method do_WORD, and METHODS_BY_SIGN has the others."""
 
     def __init__(self, path: Path, split_positions: Callable[[int], list[int]] | None = None) -> None:
         """Prepares to play the recording at `path`.
@@ -308,14 +308,14 @@
         self.daemon.write(self.config)
 
     def do_said(self, *text: str) -> None:
-        """Waits until standard error contains the text; a signal, for one, has no effect on a socket."""
+        """Waits until standard error contains the text. No connection shows that a signal was handled."""
         with self.daemon.kill_on_timeout():
             while " ".join(text) not in self.daemon.said():
                 assert self.daemon.process.poll() is None, self.daemon.said()
                 time.sleep(0.01)
 
     def do_until(self, front: str, method: str, target: str, status: str) -> None:
-        """Repeats the request until the answer has this status; a signal has no effect on a socket."""
+        """Repeats the request until the answer has this status, which shows that a signal was handled."""
         answered = ""
         while answered != status:
             with self.daemon.connect(front) as connection:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -95,7 +95,7 @@
 
 
 class FaktoryClient:
-    """A Faktory connection that has sent HELLO."""
+    """A Faktory connection that has sent HELLO with the given fields."""
 
     def __init__(self, daemon: Daemon, **hello) -> None:
         self.socket = daemon.connect("faktory")
@@ -113,6 +113,7 @@
         return None if size < 0 else self.file.read(size + 2)[:-2].decode()
 
     def close(self) -> None:
+        """Closes the connection."""
         self.file.close()
         self.socket.close()
 
