--- a/tests/test_balancers.py
+++ b/tests/test_balancers.py
@@ -21,8 +21,8 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-from player import PATIENCE_S, ROOT, Daemon, config, member
-from standins import FaktorySpeaker
+from player import WAIT_TIMEOUT_S, ROOT, Daemon, config, member
+from standins import FaktoryClient
 
 from measure.balancers import PROTOCOLS, Backend, HealthTracker, CheckResult, parse_agent_reply
 from measure.drains import DrainRun
@@ -36,7 +36,7 @@
 
 def request_reply(address: tuple[str, int], data: bytes) -> bytes:
     """Sends data on a new connection, and returns what is received until the connection ends."""
-    with socket.create_connection(address, PATIENCE_S) as connection:
+    with socket.create_connection(address, WAIT_TIMEOUT_S) as connection:
         connection.sendall(data)
         answer = b""
         try:
@@ -72,7 +72,7 @@
             worker = socket.create_server(("127.0.0.1", 0))
             self.addCleanup(worker.close)
             members = [member("w1", worker.getsockname()[1])]
-        started = Daemon({**config(members, **settings), "name": name}, fronts).ready()
+        started = Daemon({**config(members, **settings), "name": name}, fronts).wait_until_ready()
         self.addCleanup(started.close)
         self.addCleanup(lambda: self.assertNotIn("Traceback", started.stderr_text()))
         return started
@@ -81,7 +81,7 @@
         return "".join(f'[{name}]\nlisten = "{address}"\n' for name, address in listeners.items())
 
     def wait_until(self, condition, description: str) -> None:
-        end = time.monotonic() + PATIENCE_S
+        end = time.monotonic() + WAIT_TIMEOUT_S
         while not condition():
             self.assertLess(time.monotonic(), end, description)
             time.sleep(0.02)
@@ -117,7 +117,7 @@
         agent = daemon.addresses["agent_check"]
         self.wait_until(lambda: request_reply(agent, b"").startswith(b"ready"), "ready")
         with daemon.connect("clients") as kept_connection:
-            kept_connection.settimeout(PATIENCE_S)
+            kept_connection.settimeout(WAIT_TIMEOUT_S)
             file = kept_connection.makefile("rb")
 
             def request_liveness() -> bytes:
@@ -152,7 +152,7 @@
         fronts = self.listener_tables(agent_check="127.0.0.1:0") + f'[admin]\nsocket = "{path}"\n'
         daemon = self.daemon(fronts)
         with daemon.connect("clients") as pending_connection:
-            pending_connection.settimeout(PATIENCE_S)
+            pending_connection.settimeout(WAIT_TIMEOUT_S)
             pending_connection.sendall(
                 b"POST /status-read HTTP/1.1\r\nX-Call-Id: job-1\r\nContent-Length: 0\r\n\r\n"
             )
@@ -244,7 +244,7 @@
                         pass  # it has been evicted for another connection
                 for each in connections:
                     with each:
-                        each.settimeout(PATIENCE_S)
+                        each.settimeout(WAIT_TIMEOUT_S)
                         try:
                             while each.recv(1000):  # each connection is answered or closed; none stays open
                                 pass
@@ -256,14 +256,14 @@
             is_done.set()
             client_thread.join()
         self.assertTrue(successes and all(successes))
-        self.assertLess(daemon.peak_memory_mb() - daemon.small, 16)
+        self.assertLess(daemon.peak_memory_mb() - daemon.initial_resident_mb, 16)
 
     def test_checks_that_name_a_class_and_half_close(self) -> None:
         fronts = '[agent_check]\nlisten = "127.0.0.1:0"\nasks = true\nmaxconn = true\n'
         daemon = self.daemon(fronts)
         for data in (b"status-read\n", b"nobody\n", b""):
             with daemon.connect("agent_check") as connection:
-                connection.settimeout(PATIENCE_S)
+                connection.settimeout(WAIT_TIMEOUT_S)
                 connection.sendall(data)
                 connection.shutdown(socket.SHUT_WR)
                 line = connection.makefile().readline()
@@ -277,7 +277,7 @@
         daemon = self.daemon(fronts, [], kinds=["big", "old"], specifics={"class_kind": [-1, -1, 0]})
         health = daemon.addresses["health"]
         workers = {
-            kind: FaktorySpeaker(daemon, wid=f"w-{kind}", labels=["zone:a", f"kind:{kind}"])
+            kind: FaktoryClient(daemon, wid=f"w-{kind}", labels=["zone:a", f"kind:{kind}"])
             for kind in ("big", "old")
         }
 
@@ -299,8 +299,8 @@
         daemon = self.daemon(
             self.listener_tables(faktory="127.0.0.1:0") + f'[admin]\nsocket = "{path}"\n', []
         )
-        worker = FaktorySpeaker(daemon, wid="w", labels=["zone:a"])
-        producer = FaktorySpeaker(daemon)
+        worker = FaktoryClient(daemon, wid="w", labels=["zone:a"])
+        producer = FaktoryClient(daemon)
 
         def push_job(jid: str) -> str:
             return producer.ask(
@@ -352,7 +352,7 @@
 
         daemons = {name: start(name) for name in names}  # none serves before a majority is up
         for each in daemons.values():
-            each.ready()
+            each.wait_until_ready()
 
         def state(name: str) -> dict:
             return client.send_command(str(self.folder / name), do="status")
@@ -362,7 +362,7 @@
         self.assertEqual(state("b")["drained_by"], ["store"])
         daemons["b"].process.kill()
         daemons["b"].process.wait()
-        daemons["b"] = start("b").ready()
+        daemons["b"] = start("b").wait_until_ready()
         self.wait_until(
             lambda: state("b")["state"] in ("draining", "drained"), "the order outlives a restart"
         )
@@ -502,19 +502,19 @@
                 env={"PATH": os.environ["PATH"]},
             )
 
-        lines = run_logger("json", "0").communicate(timeout=PATIENCE_S)[1].decode().splitlines()
+        lines = run_logger("json", "0").communicate(timeout=WAIT_TIMEOUT_S)[1].decode().splitlines()
         first, second = map(json.loads, lines)
         self.assertEqual(
             (first["event"], first["state"], first["name"], first["reasons"]),
             ("health", "short", "n1", ["a b", "c"]),
         )
         self.assertEqual((second["event"], second["level"]), ("plain text", "warning"))
-        line = run_logger("keys", "0").communicate(timeout=PATIENCE_S)[1].decode().splitlines()[0]
+        line = run_logger("keys", "0").communicate(timeout=WAIT_TIMEOUT_S)[1].decode().splitlines()[0]
         self.assertRegex(line, r'^timestamp=\S+ level=info event=health .*reasons="a b,c"')
         unread_process = run_logger(
             "json", "3000"
         )  # 6 MB into a pipe that is not read; the process still ends
-        self.assertEqual(unread_process.wait(PATIENCE_S), 0)
+        self.assertEqual(unread_process.wait(WAIT_TIMEOUT_S), 0)
         unread_process.stderr.close()
 
 
--- a/tests/test_golden_log.py
+++ b/tests/test_golden_log.py
@@ -7,7 +7,7 @@
 
 import ast
 
-from goldenfiles import compare_text
+from golden_compare import compare_text
 from player import ROOT
 
 CONTROL_ARGUMENTS = {"level", "rate_limited"}  # arguments of log_event() that are not fields of the event
--- a/tests/test_journal_core.py
+++ b/tests/test_journal_core.py
@@ -13,7 +13,7 @@
 from collections import Counter
 
 from conftest import settings
-from simdisk import SimDisk
+from simulated_disk import SimulatedDisk
 from tornado.concurrent import Future
 from tornado.gen import sleep
 from tornado.testing import AsyncTestCase, gen_test
@@ -44,7 +44,7 @@
 CLS = "bill"  # a class of non-idempotent requests
 
 
-class GatedDisk(SimDisk):
+class GatedDisk(SimulatedDisk):
     """A disk whose syncs block while the gate is closed."""
 
     def __init__(self) -> None:
@@ -62,7 +62,7 @@
 
     name, address, records_intent_itself = "w1", "127.0.0.1:9", False
 
-    def __init__(self, disk: SimDisk) -> None:
+    def __init__(self, disk: SimulatedDisk) -> None:
         self.disk, self.delivered, self.without_intent = disk, [], 0
         self.durable_intents: set[tuple[str, int]] = set()
 
@@ -86,7 +86,7 @@
 class SyncedFiles:
     """The files that a disk has after a power loss which loses everything that was not synced."""
 
-    def __init__(self, disk: SimDisk) -> None:
+    def __init__(self, disk: SimulatedDisk) -> None:
         self.files = {name: disk.contents.get(name, b"") for name in disk.synced}
 
     def names(self) -> list[str]:
@@ -244,7 +244,7 @@
     @gen_test(timeout=60)
     async def test_failing_disk_rejects_requests_and_is_retried_without_new_ones(self) -> None:
         self.start()
-        self.disk.fail["sync"] = OSError(5, "Input/output error")
+        self.disk.errors_by_call["sync"] = OSError(5, "Input/output error")
         self.submit("job-1")
         await self.wait_until(lambda: "job-1" in self.client.answers)
         self.submit("job-2")
@@ -257,7 +257,7 @@
             (sorted(reason_by_class), set(reason_by_class.values())),
             (["bill", "book"], {"journal: Input/output error"}),
         )
-        self.disk.fail.clear()
+        self.disk.errors_by_call.clear()
         repaired_at_s = time.monotonic()
         await self.wait_until(lambda: not self.journal.unavailable_reason())
         self.assertLess(time.monotonic() - repaired_at_s, 10 * DISK_BACKOFF_S)
@@ -272,11 +272,11 @@
         await self.wait_until(lambda: "job-0" in self.client.answers)
         self.disk.gate.clear()
         self.submit("job-1")  # its acceptance and its intent are in one write, which fails
-        self.disk.fail["append"] = OSError(28, "No space left on device")
+        self.disk.errors_by_call["append"] = OSError(28, "No space left on device")
         self.disk.gate.set()
         await self.wait_until(lambda: "job-1" in self.client.answers)
         self.assertIn(("job-1", 0), self.worker.delivered)
-        self.disk.fail.clear()
+        self.disk.errors_by_call.clear()
         log = SegmentLog(self.disk)  # opens the folder as it would be after a crash now
         restarted_journal = JournalWriter(log, "refuse", "again", lambda *_: None)
         restarted_journal.close()
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -15,8 +15,8 @@
 from unittest import mock
 
 from conftest import Driver, settings
-from player import PATIENCE_S, Daemon, config, member
-from standins import figures, thread
+from player import WAIT_TIMEOUT_S, Daemon, config, member
+from standins import read_stats, start_thread
 
 from spanwing.core.clock import Clock
 from spanwing.core.messages import (
@@ -46,7 +46,7 @@
             "management": "127.0.0.1:0",
             "limits": {"sockets": 2400, "memory_mb": 400},
         }
-        daemon = Daemon(daemon_config, "").ready()
+        daemon = Daemon(daemon_config, "").wait_until_ready()
         self.addCleanup(daemon.close)
         idle = [daemon.connect("clients") for _ in range(1000)]
         stalled = [daemon.connect("management") for _ in range(20)]
@@ -63,7 +63,7 @@
                     )
                     connection.recv(1000)
 
-        client_threads = [thread(connect_repeatedly) for _ in range(4)]
+        client_threads = [start_thread(connect_repeatedly) for _ in range(4)]
         response_times_s = []
         for number in range(20):
             started_s = time.monotonic()
@@ -74,7 +74,7 @@
             time.sleep(0.1)
         is_done.set()
         for each in client_threads:
-            each.join(PATIENCE_S)
+            each.join(WAIT_TIMEOUT_S)
         for each in idle + stalled:
             each.close()
         self.assertLess(max(response_times_s), 1.0)
@@ -85,7 +85,7 @@
 
         When it continues, their input is unread and none of the connections may be closed for being slow yet.
         """
-        daemon = Daemon({**config(), "management": "127.0.0.1:0"}, "").ready()
+        daemon = Daemon({**config(), "management": "127.0.0.1:0"}, "").wait_until_ready()
         self.addCleanup(daemon.close)
         daemon.process.send_signal(signal.SIGSTOP)
         stalled = [daemon.connect("management") for _ in range(40)]
@@ -103,7 +103,7 @@
 
         The slow request arrives byte by byte, on a connection that has carried a request before.
         """
-        daemon = Daemon({**config(), "limits": {"sockets": 100}}, "").ready()
+        daemon = Daemon({**config(), "limits": {"sockets": 100}}, "").wait_until_ready()
         self.addCleanup(daemon.close)
         request = b"GET /up HTTP/1.1\r\n\r\n"
         with daemon.connect("clients") as slow:
@@ -127,14 +127,14 @@
         self.addCleanup(worker.close)
         daemon = Daemon(
             {**config([member("w1", worker.getsockname()[1])]), "management": "127.0.0.1:0"}, ""
-        ).ready()
+        ).wait_until_ready()
         self.addCleanup(daemon.close)
-        self.assertEqual(figures(daemon)["active"], 0)
+        self.assertEqual(read_stats(daemon)["active"], 0)
         waiting = daemon.connect("clients")
         waiting.sendall(
             b"POST /status-read HTTP/1.1\r\nX-Call-Id: a1\r\nX-Budget-Ms: 3000\r\nContent-Length: 0\r\n\r\n"
         )
-        while figures(daemon)["tries"] < 1:
+        while read_stats(daemon)["tries"] < 1:
             time.sleep(0.01)
         daemon.process.terminate()
         status = b"200"
--- a/tests/test_termination_races.py
+++ b/tests/test_termination_races.py
@@ -20,8 +20,8 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from player import PATIENCE_S, SETTINGS, Daemon, config, member
-from standins import FaktorySpeaker, read_http
+from player import SETTINGS, WAIT_TIMEOUT_S, Daemon, config, member
+from standins import FaktoryClient, read_http
 from tornado.concurrent import Future
 
 from spanwing.core.messages import AttemptEnded, DeliveryAttempt, JobRequest
@@ -42,7 +42,7 @@
 DEDUPLICATION_WINDOW_MS = 12000
 FILL_BYTES = b"0" * 65536
 BUFFER_SETTLE_S = 0.05  # time for the kernel to move bytes from the send buffer to the receive buffer
-ODDLY_SCRIPT = str(Path(__file__).parent / "oddly.py")
+INSTRUMENTED_DAEMON_SCRIPT = str(Path(__file__).parent / "instrumented_daemon.py")
 
 
 class ListenerStandIn:
@@ -55,7 +55,7 @@
             self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer_bytes)
         self.listener.bind(("127.0.0.1", 0))
         self.listener.listen(backlog)
-        self.listener.settimeout(PATIENCE_S)
+        self.listener.settimeout(WAIT_TIMEOUT_S)
         self.port = self.listener.getsockname()[1]
         self.case = case
         case.addCleanup(self.listener.close)
@@ -72,7 +72,7 @@
         except BlockingIOError:
             return True
         finally:
-            self.listener.settimeout(PATIENCE_S)
+            self.listener.settimeout(WAIT_TIMEOUT_S)
 
     def fill_backlog(self) -> int:
         """Fills the backlog (created with 0) with connections and returns their number.
@@ -95,7 +95,7 @@
 
     def wait_for_pending_connect(self) -> None:
         """Waits for a connection that was begun and is not established, because the backlog is full."""
-        port_suffix, deadline_s = f":{self.port:04X}", time.monotonic() + PATIENCE_S
+        port_suffix, deadline_s = f":{self.port:04X}", time.monotonic() + WAIT_TIMEOUT_S
         while not any(
             remote.endswith(port_suffix) and state == SYN_SENT
             for remote, state in (
@@ -110,7 +110,7 @@
 
     def __init__(self, case: unittest.TestCase, sock: socket.socket) -> None:
         self.socket = sock
-        sock.settimeout(PATIENCE_S)
+        sock.settimeout(WAIT_TIMEOUT_S)
         self.file = sock.makefile("rb")
         case.addCleanup(self.close)
 
@@ -215,7 +215,7 @@
         daemon_config["settings"]["classes"][2]["window_ms"] = DEDUPLICATION_WINDOW_MS
         self.daemon = Daemon(daemon_config, fronts, command=command)
         self.addCleanup(self.stop)
-        return self.daemon.ready()
+        return self.daemon.wait_until_ready()
 
     def stop(self) -> None:
         """Stops the daemon and checks its log."""
@@ -235,7 +235,7 @@
 
     def wait_for_counter(self, name: str, count: int) -> dict[str, int]:
         """Reads the counters until this one has reached count, and returns them all."""
-        with self.daemon.patience():
+        with self.daemon.kill_on_timeout():
             while (counters := self.read_counters()).get(name, 0) < count:
                 pass
         return counters
@@ -327,7 +327,9 @@
                     os.mkfifo(gate)
                     listener = ListenerStandIn(self)
                     self.start(
-                        member("w1", listener.port), cancel=cancel, command=(ODDLY_SCRIPT, f"hold={gate}")
+                        member("w1", listener.port),
+                        cancel=cancel,
+                        command=(INSTRUMENTED_DAEMON_SCRIPT, f"hold={gate}"),
                     )
                     client = self.connect_client()
                     client.submit(cls, "job-1", b"body")
@@ -369,7 +371,7 @@
         """The daemon is stopped by a signal while the client sends and disconnects."""
         worker = ListenerStandIn(self)
         self.start(member("w1", worker.port))
-        with self.daemon.patience():
+        with self.daemon.kill_on_timeout():
             while b" 200 " not in self.read_up_response():
                 pass
         self.daemon.process.send_signal(signal.SIGSTOP)
@@ -427,15 +429,15 @@
             for cls in ("status-read", "schedule-apply"):
                 with self.subTest(cls, pipelined=pipelined):
                     self.start(cancel=False, fronts='[faktory]\nlisten = "127.0.0.1:0"\n')
-                    worker = FaktorySpeaker(self.daemon, wid="w1", labels=["zone:a", "kind:big"])
+                    worker = FaktoryClient(self.daemon, wid="w1", labels=["zone:a", "kind:big"])
                     self.addCleanup(worker.close)
                     self.wait_for_counter("listed.partial", 1)
-                    client = FaktorySpeaker(self.daemon)
+                    client = FaktoryClient(self.daemon)
                     client.socket.sendall(encode_push(cls, "job-0001") + pipelined)
                     self.wait_for_counter("sent", 1)
                     client.close()
                     self.wait_for_counter("left", 1)
-                    other = FaktorySpeaker(self.daemon)
+                    other = FaktoryClient(self.daemon)
                     self.addCleanup(other.close)
                     other.socket.sendall(encode_push(cls, "job-0002"))
                     self.wait_for_counter("sent", 2)
@@ -499,13 +501,13 @@
             asyncio.ensure_future(self.results.get()),
             asyncio.ensure_future(asyncio.to_thread(self.listener.accept)),
         )
-        await asyncio.wait({ended, accepted}, timeout=PATIENCE_S, return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait({ended, accepted}, timeout=WAIT_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
         self.assertFalse(ended.done())
         connection = await accepted
         self.assertIn("DELETE /jobs/job-1 ", (await asyncio.to_thread(connection.read_message))[0])
         self.assertFalse(ended.done())
         connection.socket.sendall(response)
-        self.assertEqual(await asyncio.wait_for(ended, PATIENCE_S), (result, False))
+        self.assertEqual(await asyncio.wait_for(ended, WAIT_TIMEOUT_S), (result, False))
 
     async def test_202_on_its_way_is_read_and_its_job_is_deleted(self) -> None:
         connection = await self.deliver_sent()
@@ -541,20 +543,20 @@
         self.http_worker.cancel("job-1", 0, "cancelled")
         await self.wait_for_cancel()
         connection.respond(503, X_Rejected="1")
-        self.assertEqual(await asyncio.wait_for(self.results.get(), PATIENCE_S), ("full", False))
+        self.assertEqual(await asyncio.wait_for(self.results.get(), WAIT_TIMEOUT_S), ("full", False))
 
     async def test_worker_that_closes_within_its_response_has_ended_the_attempt(self) -> None:
         connection = await self.deliver_sent()
         connection.socket.sendall(b"HTTP/1.1 20")
         connection.close()
-        self.assertEqual(await asyncio.wait_for(self.results.get(), PATIENCE_S), ("reset", False))
+        self.assertEqual(await asyncio.wait_for(self.results.get(), WAIT_TIMEOUT_S), ("reset", False))
         self.assertTrue(self.listener.has_no_connection())
 
     async def test_worker_that_does_not_respond_is_notified_by_the_close_of_the_connection(self) -> None:
         connection = await self.deliver_sent()
         self.http_worker.cancel("job-1", 0, "cancelled")
         self.assertEqual(await asyncio.to_thread(connection.read_to_end), b"")
-        self.assertEqual(await asyncio.wait_for(self.results.get(), PATIENCE_S), ("cancelled", False))
+        self.assertEqual(await asyncio.wait_for(self.results.get(), WAIT_TIMEOUT_S), ("cancelled", False))
         self.assertTrue(self.listener.has_no_connection())
         self.assertEqual(self.pool.descriptors.open_count, 0)
 
@@ -565,11 +567,11 @@
         for is_idempotent in (True, False):
             with failing:
                 await self.deliver(is_idempotent)
-                result = await asyncio.wait_for(self.results.get(), PATIENCE_S)
+                result = await asyncio.wait_for(self.results.get(), WAIT_TIMEOUT_S)
             self.assertEqual(result, ("unreachable", True))
             self.assertEqual(self.pool.descriptors.open_count, 0)
         for _ in range(MAX_CONNECTIONS):
-            await asyncio.wait_for(self.pool.connection_slots.acquire(), PATIENCE_S)
+            await asyncio.wait_for(self.pool.connection_slots.acquire(), WAIT_TIMEOUT_S)
 
 
 class NoFreeSlotTests(HttpWorkerTestCase):
@@ -581,7 +583,7 @@
             await self.pool.connection_slots.acquire()
 
     async def check_not_sent(self) -> None:
-        self.assertEqual(await asyncio.wait_for(self.results.get(), PATIENCE_S), ("moot", True))
+        self.assertEqual(await asyncio.wait_for(self.results.get(), WAIT_TIMEOUT_S), ("moot", True))
         self.pool.connection_slots.release()  # the ended attempt must not use the free slot
         await self.pool.connection_slots.acquire()
         self.assertTrue(self.listener.has_no_connection())
@@ -599,7 +601,7 @@
             await self.deliver(is_idempotent)
             self.may_send = False
             self.pool.connection_slots.release()
-            self.assertEqual(await asyncio.wait_for(self.results.get(), PATIENCE_S), ("moot", True))
+            self.assertEqual(await asyncio.wait_for(self.results.get(), WAIT_TIMEOUT_S), ("moot", True))
             self.assertTrue(self.listener.has_no_connection())
             await self.pool.connection_slots.acquire()
 
@@ -618,7 +620,7 @@
                 int(headers["x-budget-ms"]), remaining_ms - (time.monotonic() - started_s) * 1000.0
             )
             connection.respond(200, b"served")
-            self.assertEqual(await asyncio.wait_for(self.results.get(), PATIENCE_S), ("ok", False))
+            self.assertEqual(await asyncio.wait_for(self.results.get(), WAIT_TIMEOUT_S), ("ok", False))
             await self.pool.connection_slots.acquire()
 
     async def test_probe_is_not_sent_to_a_worker_that_started_draining_while_it_waited(self) -> None:
@@ -628,7 +630,7 @@
         await asyncio.sleep(0.05)
         self.http_worker.start_draining()
         self.pool.connection_slots.release()
-        await asyncio.wait_for(probe_results.get(), PATIENCE_S)
+        await asyncio.wait_for(probe_results.get(), WAIT_TIMEOUT_S)
         self.assertTrue(self.listener.has_no_connection())
         await self.pool.connection_slots.acquire()
 
@@ -674,7 +676,7 @@
                 self.may_send = False
                 received = await asyncio.to_thread(connection.read_to_end)
                 self.assertEqual(received[-1:], FILL_BYTES[-1:])
-                self.assertEqual(await asyncio.wait_for(self.results.get(), PATIENCE_S), ("moot", True))
+                self.assertEqual(await asyncio.wait_for(self.results.get(), WAIT_TIMEOUT_S), ("moot", True))
                 self.assertEqual(self.pool.descriptors.open_count, 0)
 
     async def test_buffered_bytes_are_not_sent_to_a_worker_that_starts_draining(self) -> None:
@@ -684,7 +686,7 @@
                 self.http_worker.start_draining()
                 received = await asyncio.to_thread(connection.read_to_end)
                 self.assertEqual(received[-1:], FILL_BYTES[-1:])
-                self.assertEqual(await asyncio.wait_for(self.results.get(), PATIENCE_S), ("moot", True))
+                self.assertEqual(await asyncio.wait_for(self.results.get(), WAIT_TIMEOUT_S), ("moot", True))
                 self.http_worker.is_draining = False
 
     async def test_bytes_that_may_be_sent_are_sent_once_there_is_room(self) -> None:
@@ -692,7 +694,7 @@
         while (await asyncio.to_thread(connection.socket.recv, len(FILL_BYTES))).strip(b"0") != b"\n":
             pass
         connection.respond(200, b"served")
-        self.assertEqual(await asyncio.wait_for(self.results.get(), PATIENCE_S), ("ok", False))
+        self.assertEqual(await asyncio.wait_for(self.results.get(), WAIT_TIMEOUT_S), ("ok", False))
 
 
 class FaktoryFetchTests(unittest.IsolatedAsyncioTestCase):
@@ -711,16 +713,16 @@
             )
             faktory_worker.deliver(delivery, Listener())
         faktory_worker.post(FetchRequested(("look",), reply))
-        ended = await asyncio.wait_for(results.get(), PATIENCE_S)
+        ended = await asyncio.wait_for(results.get(), WAIT_TIMEOUT_S)
         self.assertEqual((ended.request, ended.result, ended.is_unsent), ("job-1", "moot", True))
-        self.assertIn(b"job-2", (await asyncio.wait_for(reply, PATIENCE_S))[0])
+        self.assertIn(b"job-2", (await asyncio.wait_for(reply, WAIT_TIMEOUT_S))[0])
 
 
 class UnsentAttemptTests(DaemonTestCase):
     def test_last_byte_is_not_sent_after_the_timeout_of_a_partly_sent_attempt(self) -> None:
         """The worker reads only a part, the client's deadline passes, and then the worker reads the rest."""
         listener = ListenerStandIn(self, receive_buffer_bytes=1024)
-        self.start(member("w1", listener.port), command=(ODDLY_SCRIPT, "small"))
+        self.start(member("w1", listener.port), command=(INSTRUMENTED_DAEMON_SCRIPT, "small"))
         client = self.connect_client()
         client.submit("status-read", "job-1", bytes(60_000), budget_ms=400)
         worker = listener.accept()
@@ -732,7 +734,7 @@
     def test_last_byte_is_not_sent_after_the_client_of_a_partly_sent_attempt_disconnects(self) -> None:
         """Unsent bytes are not sent even where the settings allow no cancellation."""
         listener = ListenerStandIn(self, receive_buffer_bytes=1024)
-        self.start(member("w1", listener.port), command=(ODDLY_SCRIPT, "small"), cancel=False)
+        self.start(member("w1", listener.port), command=(INSTRUMENTED_DAEMON_SCRIPT, "small"), cancel=False)
         client = self.connect_client()
         client.submit("status-read", "job-1", bytes(60_000))
         worker = listener.accept()
@@ -743,7 +745,7 @@
         self.assertNotIn("tries", self.read_counters())
 
     def create_control_files(self) -> tuple[Path, Path]:
-        """Returns a pipe for oddly.py's option `hold`, and an empty file for its option `ahead`."""
+        """Returns a pipe for option `hold` and an empty file for option `ahead` of instrumented_daemon.py."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         gate, ahead = Path(folder.name) / "gate", Path(folder.name) / "ahead"
@@ -762,7 +764,11 @@
             DiscoveryStandIn(self),
         )
         backlog_count, (_, ahead) = second.fill_backlog(), self.create_control_files()
-        self.start(member("w1", first.port), discovery=discovery, command=(ODDLY_SCRIPT, f"ahead={ahead}"))
+        self.start(
+            member("w1", first.port),
+            discovery=discovery,
+            command=(INSTRUMENTED_DAEMON_SCRIPT, f"ahead={ahead}"),
+        )
         discovery.next_watch()
         client = self.connect_client()
         client.submit("setpoint-push", "job-1")
@@ -785,7 +791,7 @@
         self.start(
             member("w1", first.port),
             discovery=discovery,
-            command=(ODDLY_SCRIPT, f"hold={gate}", f"ahead={ahead}"),
+            command=(INSTRUMENTED_DAEMON_SCRIPT, f"hold={gate}", f"ahead={ahead}"),
         )
         discovery.next_watch()
         client = self.connect_client()
@@ -828,7 +834,7 @@
 class DrainTests(DaemonTestCase):
     def test_client_that_never_reads_its_answer_does_not_block_the_drain(self) -> None:
         listener = ListenerStandIn(self)
-        self.start(member("w1", listener.port), command=(ODDLY_SCRIPT, "small"))
+        self.start(member("w1", listener.port), command=(INSTRUMENTED_DAEMON_SCRIPT, "small"))
         client = socket.socket()
         self.addCleanup(client.close)
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
@@ -844,7 +850,7 @@
     def test_partly_written_answer_is_completed_during_the_drain(self) -> None:
         """The client reads the rest only after the drain has visibly started."""
         listener = ListenerStandIn(self)
-        self.start(member("w1", listener.port), command=(ODDLY_SCRIPT, "small"))
+        self.start(member("w1", listener.port), command=(INSTRUMENTED_DAEMON_SCRIPT, "small"))
         client = socket.socket()
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
         client.connect(self.daemon.addresses["clients"])
@@ -855,7 +861,7 @@
         worker.respond(200, bytes(60_000))
         self.wait_for_counter("answered", 1)
         self.daemon.process.send_signal(signal.SIGTERM)
-        with self.daemon.patience():
+        with self.daemon.kill_on_timeout():
             while True:
                 with self.daemon.connect("clients") as connection:
                     connection.sendall(b"GET /up HTTP/1.1\r\n\r\n")
@@ -870,9 +876,9 @@
         self.addCleanup(folder.cleanup)
         gate = Path(folder.name) / "gate"
         os.mkfifo(gate)
-        self.start(command=(ODDLY_SCRIPT, f"end={gate}"))
+        self.start(command=(INSTRUMENTED_DAEMON_SCRIPT, f"end={gate}"))
         self.daemon.process.send_signal(signal.SIGTERM)
-        with self.daemon.patience():
+        with self.daemon.kill_on_timeout():
             while "ending" not in self.daemon.process.stdout.readline():
                 pass
         with self.assertRaises(ConnectionRefusedError):
