--- a/spanwing/settings.py
+++ b/spanwing/settings.py
@@ -1,7 +1,7 @@
-"""The settings object as it is written, and its translation to the settings of the decision module.
+"""The platform's settings object in JSON, and its conversion to the settings of the decision module.
 
-The simulator sends it in its first message, the daemon reads it from its configuration. Fields keep their
-written names by msgspec.field(name=...). Times are milliseconds.
+The simulator sends the object in its first message; the daemon reads it from its configuration. Where the
+JSON key of a field differs from the field's name, msgspec.field(name=...) gives the key. Times are in ms.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 from spanwing import interface as api
 
-#: The decision module's names of load report fields that are written otherwise.
-FIELD_NAMES = {"rif": "inflight", "q": "queue"}
-#: The same for the fields x0 and x1, by the text that describes them.
-EXTRA_FIELD_NAMES = {"free slots": "free_slots", "free memory": "free_memory"}
+#: By the name of a load report field in the settings object, its name in the decision module if it differs.
+LOAD_REPORT_NAMES = {"rif": "inflight", "q": "queue"}
+#: The same for the fields x0 and x1, by the text of the setting report_x0 or report_x1.
+EXTRA_LOAD_REPORT_NAMES = {"free slots": "free_slots", "free memory": "free_memory"}
 
-#: Paths in a settings object, by the names in the texts of SettingsError, where the two differ.
+#: By the name of a setting in a SettingsError, its path in the settings object if it differs.
 SETTING_NAMES = {
     "nodes": "balancers",
     "node": "position",
@@ -43,7 +43,8 @@
     latency_objective_ms: float = msgspec.field(name="aim_ms")
     deadline_ms: float
     priority_weight: float = msgspec.field(default=1.0, name="worth")
-    late_weight: float = msgspec.field(default=0.0, name="late_worth")
+    late_weight: float = msgspec.field(default=0.0, name="late_worth")  # of an answer after the objective
+    # The objective grows by this multiple of the job's own running time.
     objective_stretch: float | None = msgspec.field(default=None, name="aim_stretch")
     idempotency: str = "safe"
     repeat_group: str | None = msgspec.field(default=None, name="group")
@@ -59,7 +60,7 @@
 
 
 class ReportSettings(msgspec.Struct):
-    """The fields of the workers' load reports; with via "off" there are no reports."""
+    """The fields of the workers' load reports; there are no reports if via is "off"."""
 
     fields: list[str] | None = None
     via: str = ""
@@ -74,14 +75,16 @@
     max_attempts: int = 1
     retry_after: bool = False
     max_retry_after_ms: float | None = None
-    conn_idle_ms: float = 15000.0
+    conn_idle_ms: float = 15000.0  # idle time after which a worker may close a connection
     connect_timeout_ms: float = 250.0
 
 
 class RuleSettings(msgspec.Struct):
     """The rules of the platform: grace times, polling, and the limits of workers that warm up."""
 
+    # A final answer may come this long after the deadline.
     answer_grace_ms: float = msgspec.field(default=0.0, name="grace_to_answer_ms")
+    # Sends to a draining worker must end within this.
     drain_grace_ms: float = msgspec.field(default=0.0, name="stop_sending_within_ms")
     poll_interval_ms: float = msgspec.field(default=10000.0, name="ask_every_ms")
     slow_start_initial_fraction: float = msgspec.field(default=1.0, name="cold_from")
@@ -91,21 +94,24 @@
 
 
 class SpecificSettings(msgspec.Struct):
-    """Settings of classes by their position, and what workers' queues and reports are like."""
+    """Further settings of the classes, and properties of the workers' queues and reports.
 
-    class_kind: list[int] = []
+    The lists have one value for each class, in the order of the classes; values at the end may be missing.
+    """
+
+    class_kind: list[int] = []  # index in kinds of the only worker kind that runs the class; -1: any kind
     class_priority: list[int] = []
-    class_stretch: list[float] = []
-    memory_unit: str | None = None
-    queue_order: str | None = None
-    report_x0: str | None = None
-    report_x1: str | None = None
-    tells_start: bool = False
-    progress_ms: float = 0.0
+    class_stretch: list[float] = []  # replaces the class's own objective_stretch
+    memory_unit: str | None = None  # if set, a worker's slots also bound the memory of its jobs
+    queue_order: str | None = None  # "priority": workers may preempt a job of lower priority
+    report_x0: str | None = None  # what the load report field x0 contains, such as "free slots"
+    report_x1: str | None = None  # the same for x1
+    tells_start: bool = False  # workers report the start of each job
+    progress_ms: float = 0.0  # interval at which workers report each running job; 0: never
 
 
 class PlatformSettings(msgspec.Struct):
-    """A whole settings object; unknown keys are ignored."""
+    """The complete settings object; unknown keys are ignored, missing ones have the defaults given here."""
 
     classes: list[ClassSettings]
     node_index: int = msgspec.field(default=0, name="position")
@@ -114,9 +120,10 @@
     zones: list[str] | None = msgspec.field(default=None, name="areas")
     kinds: list[str] | None = None
     tenants: list[TenantSettings] | None = msgspec.field(default=None, name="orgs")
+    # Weight of a request beyond its tenant's quota, as a fraction.
     over_quota_weight: float = msgspec.field(default=1.0, name="over_share_worth")
     tick_ms: float = 1.0
-    discovery: str | None = None
+    discovery: str | None = None  # "subscribe": the worker list is sent only on a Watch
     weight_source: str | None = None
     report: ReportSettings | None = None
     permissions: PermissionSettings | None = None
@@ -148,16 +155,19 @@
 
 
 def load_report_fields(options: PlatformSettings) -> tuple[str, ...]:
-    """Returns the names of a load report's values in order, as the decision module names them."""
+    """Returns the fields of a load report in their order, by their names in the decision module."""
     report, specifics = options.report or ReportSettings(), options.specifics or SpecificSettings()
     extra_texts = {"x0": specifics.report_x0, "x1": specifics.report_x1}
-    extra_names = {name: EXTRA_FIELD_NAMES.get(text or "", name) for name, text in extra_texts.items()}
+    extra_names = {name: EXTRA_LOAD_REPORT_NAMES.get(text or "", name) for name, text in extra_texts.items()}
     fields = () if report.via == "off" else report.fields or ()
-    return tuple(extra_names.get(name, FIELD_NAMES.get(name, name)) for name in fields)
+    return tuple(extra_names.get(name, LOAD_REPORT_NAMES.get(name, name)) for name in fields)
 
 
 def scheduler_settings(options: PlatformSettings) -> api.Settings:
-    """Returns the settings of the decision module. Raises SettingsError if a value is out of range."""
+    """Returns the settings of the decision module.
+
+    Raises SettingsError, a ValueError that names each setting with an invalid value.
+    """
     specifics = options.specifics or SpecificSettings()
     permissions, rules = options.permissions or PermissionSettings(), options.rules or RuleSettings()
     return api.Settings(
--- a/spanwing/workers/http_worker.py
+++ b/spanwing/workers/http_worker.py
@@ -48,12 +48,14 @@
 ACCEPT_TIMEOUT_S = 2.5  # for a worker's 202, which it sends before any work; its pauses are far shorter
 CANCEL_TIMEOUT_S = 1.0  # for the response to a DELETE
 CANCEL_RETRY_MIN_S, CANCEL_RETRY_MAX_S = 0.1, 2.0  # first and longest backoff before a DELETE is retried
-PROBE_TIMEOUT_S = 0.5
+PROBE_TIMEOUT_S = 0.5  # for the response to a probe, or to the GET /alive before an attempt
 MAX_SEND_CONNECTIONS = 3  # connections tried for one request; all but the first are new
-CLOSE_GRACE_S = 0.02  # a close reaches the worker within this; the request goes to no other worker before
+# Upper estimate of the time until a worker has noticed that its connection was closed. The request is sent to
+# another worker only after it.
+CLOSE_GRACE_S = 0.02
 LAST_BYTE_DELAY_S = 0.002  # upper estimate of a round trip, after which a reset would have arrived
 
-#: By the final state that a worker reports of a job: the result of the attempt.
+#: The result of an attempt, by the final state that the worker reports for its job.
 CALLBACK_RESULTS: dict[str, api.Result] = {
     "done": "ok",
     "failed": "error",
@@ -66,16 +68,16 @@
     """A worker reports the state of a job that it has accepted."""
 
     request: str
-    state: str
+    state: str  # "started", "running" or a key of CALLBACK_RESULTS
     body: bytes
-    report: tuple[float, ...] | None
+    report: tuple[float, ...] | None  # values of the worker's load report
 
 
 class ConfirmationSettings(NamedTuple):
     """Whether a worker has to confirm that it accepts work before an attempt is sent to it.
 
-    The worker is asked by GET /alive, which a draining worker answers with 503. So nothing is sent to a
-    draining worker even if the age of the endpoint list is unknown.
+    The worker confirms by answering GET /alive with 200; a draining worker answers with 503. So no attempt is
+    sent to a draining worker even if the age of the endpoint list is unknown.
     """
 
     is_needed: Callable[[], bool] = lambda: False
@@ -170,7 +172,7 @@
         spawn_task(self._supervise_attempt(attempt))
 
     async def _supervise_attempt(self, attempt: HttpAttempt) -> None:
-        """Runs an attempt, and ends it if that raises: its request still needs an answer."""
+        """Runs an attempt; ends it if an exception occurs, as its request still needs an answer."""
         try:
             await self._run_attempt(attempt)
         except Exception:  # a bug in one attempt must not lose the request
@@ -192,8 +194,8 @@
             )
             return
         attempt.listener.post(LastByteSent(request.id, attempt.delivery.number))
-        # Waiting for a worker that neither accepts nor rejects the job would only occupy its slots, and would
-        # make the client wait until the deadline.
+        # A worker may neither accept nor reject the job. Waiting longer would only occupy the worker's slots
+        # and make the client wait until the deadline.
         accept_timer = self.loop.call_later(ACCEPT_TIMEOUT_S, self._abort_unanswered, attempt, "timeout")
         response = await self._receive_response(connection)
         self.loop.remove_timeout(accept_timer)
@@ -222,13 +224,14 @@
     ) -> PooledConnection | None:
         """Sends a request; returns its connection, or None if the last byte was not written.
 
-        encode is called for each connection that is tried, when it is ready. is_wanted is checked after each
-        wait; for an attempt, the permission to send is also checked at each write to the socket.
+        encode is called once for each connection that is tried, after the connection was opened. is_wanted
+        is checked after each wait; for an attempt, the permission to send is also checked at each write to
+        the socket.
 
-        A pooled connection that the worker has dropped silently still looks open, and a request written to it
-        may have to count as run. With hold_last_byte, for requests that must not run twice, only new
-        connections are used, and the last byte, without which the request cannot run, is held back until a
-        reset would have arrived.
+        hold_last_byte is set for requests that must not run twice. A pooled connection that the worker has
+        dropped silently still looks open. If a request were written to it, it would be unknown whether the
+        request has run. Such requests therefore use only new connections. Their last byte, without which they
+        cannot run, is held back until a reset would have arrived.
         """
         for number in range(MAX_SEND_CONNECTIONS):
             connection = await self.connection_pool.acquire(hold_last_byte or number > 0, is_wanted)
@@ -245,7 +248,7 @@
                 if is_wanted() and connection.is_reusable():
                     if attempt is not None:
                         attempt.is_last_byte_written, attempt.connection = True, connection
-                        # Bytes that stay in the stream's buffer are checked again at the socket.
+                        # Bytes may wait in the stream's buffer; this is checked when they are sent.
                         connection.stream.permit = lambda: self._may_send(attempt)
                     self._check_send(data, attempt)
                     await connection.write(data[-1:] if hold_last_byte else data)
@@ -261,7 +264,7 @@
         return None
 
     async def _confirm_worker(self, connection: PooledConnection, attempt: HttpAttempt) -> bool:
-        """Returns whether the attempt may be sent; if needed, asks the worker first, on this connection."""
+        """Returns whether the worker accepts work; asks it on this connection if confirmation is needed."""
         permit = attempt.delivery.may_send
         if not self.confirmation.is_needed():
             return True
@@ -285,9 +288,10 @@
         return True
 
     def _check_send(self, data: bytes, attempt: HttpAttempt | None) -> None:
-        """Checks the rules for a request about to be written, and logs it if the worker is draining.
+        """Records violations of the send rules by a request that is about to be written.
 
-        A draining worker may still get a DELETE, and a probe that was begun before.
+        Logs each request to a draining worker. Such a worker may still get a DELETE, or a probe that was
+        begun before it started to drain.
         """
         permit = None if attempt is None else attempt.delivery.may_send
         if isinstance(permit, SendPermit):
@@ -333,13 +337,14 @@
     def _handle_response(
         self, attempt: HttpAttempt, response: HttpMessage | None, is_response_invalid: bool
     ) -> None:
-        if not self._is_current(attempt):
+        """Marks the attempt as accepted, ends it or cancels it, as the worker's response requires."""
+        if not self._is_in_flight(attempt):
             return
         report = self.load_reader.read_text(response.headers.get("x-load-report", "")) if response else None
         if response is None and is_response_invalid:  # the invalid response may have been a 202
             attempt.cancel_result = attempt.cancel_result or "reset"
             spawn_task(self._cancel_at_worker(attempt))
-        elif response is None and attempt.cancel_result is not None:
+        elif response is None and attempt.cancel_result is not None:  # closed here, to cancel the attempt
             self.loop.call_later(CLOSE_GRACE_S, self._end_attempt, attempt, attempt.cancel_result)
         elif response is None:
             self._end_attempt(attempt, "reset")
@@ -359,7 +364,7 @@
 
     def _is_wanted(self, attempt: HttpAttempt) -> bool:
         """Returns whether the attempt is in flight, not cancelled, and may be sent."""
-        return self._is_current(attempt) and attempt.cancel_result is None and self._may_send(attempt)
+        return self._is_in_flight(attempt) and attempt.cancel_result is None and self._may_send(attempt)
 
     def _may_send(self, attempt: HttpAttempt) -> bool:
         """Returns whether the attempt may be sent now.
@@ -371,7 +376,7 @@
             permit.refuse(SendRefusal.WORKER_DRAINING)
         return not self.is_draining and (permit is None or permit())
 
-    def _is_current(self, attempt: HttpAttempt) -> bool:
+    def _is_in_flight(self, attempt: HttpAttempt) -> bool:
         """Returns whether the attempt has not ended."""
         return self.attempts.get(attempt.delivery.request.id) is attempt
 
@@ -385,7 +390,7 @@
     ) -> None:
         """Ends the attempt with this result, unless it has ended already."""
         # A callback may arrive before the 202, or twice: only the first result counts.
-        if not self._is_current(attempt):
+        if not self._is_in_flight(attempt):
             return
         del self.attempts[attempt.delivery.request.id]
         attempt.listener.post(
@@ -408,6 +413,7 @@
             )
 
     def _handle_cancel(self, message: CancelDelivery) -> None:
+        """Cancels an attempt: by closing its connection, by a DELETE once accepted, or before it is sent."""
         attempt = self.attempts.get(message.request)
         if attempt is None or attempt.delivery.number != message.number or attempt.cancel_result is not None:
             return
@@ -423,9 +429,9 @@
     def _abort_unanswered(self, attempt: HttpAttempt, result: api.Result) -> None:
         """Cancels an attempt that was sent and is not answered yet.
 
-        A worker cancels the job if the connection ends before it sends the 202. If a 202 is already on its
-        way, the job runs. Responses are therefore read for another CLOSE_GRACE_S, until the close has
-        certainly arrived.
+        A worker cancels the job if its connection is closed before it sends the 202. If the 202 is already on
+        its way, the job runs. A response is therefore still read for CLOSE_GRACE_S; by then the worker has
+        certainly noticed the close.
         """
         if attempt.connection is not None and attempt.cancel_result is None:
             attempt.cancel_result = result
@@ -433,6 +439,7 @@
             self.loop.call_later(CLOSE_GRACE_S, attempt.connection.abort)
 
     def _handle_withdraw(self, message: WithdrawAttempt) -> None:
+        """Ends an attempt, or closes its connection, if its last byte has not been sent."""
         attempt = self.attempts.get(message.request)
         if attempt is None or attempt.delivery.number != message.number:
             return
@@ -453,7 +460,7 @@
         """
         backoff_s = CANCEL_RETRY_MIN_S
         try:
-            while not await self._delete_job(f"/jobs/{attempt.delivery.request.id}") and self._is_current(
+            while not await self._delete_job(f"/jobs/{attempt.delivery.request.id}") and self._is_in_flight(
                 attempt
             ):
                 remaining_s = attempt.expires_s - self.loop.time()
