--- a/spanwing/discovery/call.py
+++ b/spanwing/discovery/call.py
@@ -54,10 +54,11 @@
     connect_timeout_s: float
     first_byte_timeout_s: float  # from the start of the call to the first byte of the answer
     stall_timeout_s: float  # longest gap within the answer
-    answer_timeout_s: float = 2.0  # from the first byte to the last; extended for a large answer
+    answer_timeout_s: float = 2.0  # from the first byte to the last, plus the time for the size of the answer
 
 
-MIN_ANSWER_BYTES_PER_S = 128 * 1024  # extends answer_timeout_s by the time for the bytes received so far
+# Lowest accepted rate of a large answer: each received byte extends answer_timeout_s at this rate.
+MIN_ANSWER_BYTES_PER_S = 128 * 1024
 
 
 class CallResult(NamedTuple):
@@ -70,7 +71,7 @@
     first_byte_s: float | None  # when the answer began; None if no byte arrived
     last_byte_s: float | None  # when the last byte of the answer arrived
     received_bytes: int = 0  # size of the answer, including its head
-    detail: str = ""  # why the answer was rejected
+    detail: str = ""  # why the answer was rejected; empty for other failures
 
 
 class AnswerOverdueError(Exception):
@@ -97,8 +98,8 @@
     async def read(self, sink: bytearray) -> bool:
         """Appends the next input to sink; returns False if the connection has ended.
 
-        Raises AnswerOverdueError if the deadline has passed and no input is pending. After a pause of the
-        process, both the timer and the input may be due; the input is then read.
+        Raises AnswerOverdueError if the deadline has passed and no input is pending. If the process was
+        paused beyond the deadline, input that has arrived meanwhile is still read.
         """
         try:
             reading = self._begin_read()
@@ -115,6 +116,10 @@
         return has_data
 
     async def _wait_for_input(self, reading: Future[int]) -> None:
+        """Waits for the read, at most until the deadline.
+
+        Raises AnswerOverdueError if the deadline has passed and no input is pending.
+        """
         wait_s = self._next_byte_deadline_s() - self.loop.time()
         try:
             await with_timeout(
@@ -126,6 +131,7 @@
             await sleep(0)  # the event loop reads the pending input in its next iteration
 
     def _next_byte_deadline_s(self) -> float:
+        """Returns the loop time by which the next byte has to arrive."""
         if self.first_byte_s is None:
             return self.began_s + self.limits.first_byte_timeout_s
         answer_timeout_s = self.limits.answer_timeout_s + self.received_bytes / MIN_ANSWER_BYTES_PER_S
@@ -156,8 +162,9 @@
     async def fetch(self, since: int | None, hold_s: float, limits: CallLimits) -> CallResult:
         """Requests the endpoint list.
 
-        With a revision in since, discovery waits up to hold_s for later changes before it answers. With None
-        it returns the complete list immediately. Failures are returned, not raised, and close the connection.
+        since: the last known revision; discovery then answers as soon as there is a later change, or after
+        hold_s (long poll). If since is None, it answers immediately with the complete list. Failures are
+        returned, not raised, and close the connection.
         """
         loop = IOLoop.current()
         began_s = loop.time()
--- a/spanwing/store/document.py
+++ b/spanwing/store/document.py
@@ -1,11 +1,12 @@
-"""A document of keys and values, which transactions change and watchers follow by its history.
+"""A versioned document of keys and values, with a history of its last changes for watchers.
 
-Pure. A transaction applies as a whole or not at all, and raises the document's revision by one. While it is
-in the history, applying it again has no effect, so that a transaction with an unknown outcome can be
-retried. A watcher that missed more than the history contains needs the complete document.
+Pure. A transaction applies as a whole or not at all, and raises the document's revision by one. A transaction
+that is still in the history has no effect if it is applied again, so one with an unknown outcome can be
+retried. A watcher that missed more changes than the history contains needs the complete document.
 
 Bounds: MAX_KEYS keys of MAX_KEY_BYTES, values of MAX_VALUE_BYTES, MAX_DOCUMENT_BYTES in all, and a history of
-MAX_HISTORY_CHANGES changes and MAX_HISTORY_BYTES.
+MAX_HISTORY_CHANGES changes. The changes before the last one have at most MAX_HISTORY_BYTES. The sizes of the
+document and of the history are approximate, as characters are counted instead of bytes.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 
 class DocumentChange(msgspec.Struct, frozen=True, array_like=True):
-    """The writes of one transaction; a value of None deleted the key."""
+    """The writes of one transaction. If a written value is None, the key was deleted."""
 
     revision: int
     transaction_id: str
@@ -84,18 +85,18 @@
                 continue
             if len(key.encode()) > MAX_KEY_BYTES or len(value.encode()) > MAX_VALUE_BYTES:
                 raise ValueError(
-                    f"{key[:40]!r}: a key has up to {MAX_KEY_BYTES} bytes, a value up to {MAX_VALUE_BYTES}"
+                    f"{key[:40]!r}: the key exceeds {MAX_KEY_BYTES} bytes or its value {MAX_VALUE_BYTES}"
                 )
             entries[key] = DocumentEntry(value, revision)
         if (
             len(entries) > MAX_KEYS
-            or sum(len(k) + len(e.value) for k, e in entries.items()) > MAX_DOCUMENT_BYTES
+            or sum(len(name) + len(entry.value) for name, entry in entries.items()) > MAX_DOCUMENT_BYTES
         ):
             raise ValueError(f"the fleet's state would exceed {MAX_KEYS} keys or {MAX_DOCUMENT_BYTES} bytes")
-        history, size = [DocumentChange(revision, transaction.id, transaction.writes)], 0
+        history, size_bytes = [DocumentChange(revision, transaction.id, transaction.writes)], 0
         for each in reversed(self.history):
-            size += each.size_in_bytes()
-            if len(history) >= MAX_HISTORY_CHANGES or size > MAX_HISTORY_BYTES:
+            size_bytes += each.size_in_bytes()
+            if len(history) >= MAX_HISTORY_CHANGES or size_bytes > MAX_HISTORY_BYTES:
                 break
             history.append(each)
         return Document(revision, entries, tuple(reversed(history)))
@@ -112,7 +113,7 @@
         return self.history[revision + 1 - self.history[0].revision :]
 
     def apply_changes(self, changes: tuple[DocumentChange, ...]) -> Document:
-        """Returns this copy of the document with the next changes. Raises ValueError if one is missing."""
+        """Returns this copy of the document after further changes. Raises ValueError if one is missing."""
         entries, revision = dict(self.entries), self.revision
         for change in changes:
             if change.revision != revision + 1:
