--- a/spanwing/zones/controller.py
+++ b/spanwing/zones/controller.py
@@ -1,10 +1,14 @@
 """The zone controller: derives the next change of the fleet's zones from the evidence of all schedulers.
 
-Pure; time is passed in. Each decision is at most one transaction, which applies only if the keys it was
-computed from are unchanged. The last open zone is never left, and a returning zone does not count as open. A
-zone returns only after no scheduler can still use it by an older state, and a new feeder assignment comes
-into force only after no scheduler can still feed by the previous one. A zone on hold changes only by an
-operator's orders. Bounds: one report per session, MAX_ZONES zones.
+Pure; the time is passed in as `now`, in ms of a monotonic clock. Each decision is at most one transaction,
+which applies only if the keys it was computed from are unchanged.
+
+The last open zone is never left, and a returning zone does not count as open. Schedulers learn of a change at
+different times. A zone that was left therefore returns only once no scheduler can still use it as an open
+zone, and a new feeder assignment comes into force only once no scheduler can still use the previous one. A
+zone on hold changes only by an operator's orders.
+
+Bounds: one report per session, MAX_ZONES zones.
 """
 
 from __future__ import annotations
@@ -55,7 +59,7 @@
     120_000.0,
 )  # hold-down of a zone that was left; it doubles with each failure in a row
 FAILURE_RESET_MS = 600_000.0  # after this long open, earlier failures no longer count
-MIN_RETURN_STEP_MS = 600.0  # a step of a return lasts at least this before the next
+MIN_RETURN_STEP_MS = 600.0  # shortest time before the next step of a return; half of it before a step back
 MIN_ASSIGNMENT_INTERVAL_MS = 1000.0  # between two feeder assignments
 WORKER_COUNT_WINDOW_MS = 60_000.0  # workers listed within this still count as the zone's
 MAX_GRADUAL_LEAVE_S = 3600.0
@@ -70,17 +74,19 @@
     """A worker in the leader's own endpoint list."""
 
     id: int
-    started_at_ms: float  # wall clock; 0: long ago
+    started_at_ms: float  # start of the worker by the wall clock; 0: long ago
     is_warming_up: bool
 
 
 class ZoneLimits(NamedTuple):
     """The controller's limits, from the settings and the operator's file."""
 
-    feeder_change_delay_ms: float  # the overload window plus MAX_TRANSIT_MS
+    # After this, requests of a previous feeder no longer count in the overload window of a worker: the length
+    # of the window plus MAX_TRANSIT_MS.
+    feeder_change_delay_ms: float
     slow_start_ms: float = 0.0  # how long a worker warms up after its start
     scheduler_count: int = 1  # configured schedulers, up or down
-    regions: Mapping[str, tuple[str, ...]] = {}
+    regions: Mapping[str, tuple[str, ...]] = {}  # zones by region
     probes_enabled: bool = True  # without probes, a zone that was left returns without evidence
     is_sampled: bool = False  # standalone mode: one scheduler does not see all workers of a zone
 
@@ -90,7 +96,7 @@
 
     action: str = msgspec.field(name="do")
     target: str = msgspec.field(name="name")
-    duration_s: float = msgspec.field(default=0.0, name="over_s")
+    duration_s: float = msgspec.field(default=0.0, name="over_s")  # of a gradual leave; 0: leave at once
     author: str = msgspec.field(default="operator", name="by")
 
 
@@ -161,7 +167,7 @@
     def _ms_since_first_seen(self, now: float, name: str, revision: int) -> float:
         """Returns how long ago, in ms, this process first saw this revision of a zone or of ASSIGNMENT_KEY.
 
-        What an earlier leader saw does not count.
+        The time for which the revision existed before, under another leader, is not included.
         """
         first_seen = self.revision_first_seen.get(name)
         if first_seen is None or first_seen[0] != revision:
@@ -185,7 +191,7 @@
         return listed
 
     def recent_observers(self, now: float, leader: Leader) -> list[Observer]:
-        """Returns the sessions that hold a lease, with their evidence as far as it has not expired."""
+        """Returns the sessions that hold a lease, with the parts of their evidence that have not expired."""
         active_session_ids = {each.id for each in leader.active_sessions(now)}
         self.reports = {
             session_id: report for session_id, report in self.reports.items() if session_id in leader.sessions
@@ -207,9 +213,9 @@
         )
 
     def zones_to_probe(self, now: float, leader: Leader) -> tuple[str, ...]:
-        """Returns open zones that a credible observer reports as down although the verdict is unknown.
+        """Returns open zones that a credible observer reports as down, but on which the verdict is unknown.
 
-        Zones on hold are left out. Returns at most MAX_ZONES_TO_PROBE.
+        More evidence is needed on these. Zones on hold are left out. Returns at most MAX_ZONES_TO_PROBE.
         """
         undecided_zones = []
         observers = self.recent_observers(now, leader)
@@ -276,6 +282,7 @@
         )
 
     def _hold_down_ms(self, zone: ZoneState) -> float:
+        """Returns how long a zone that was left must stay left; longer after several failures in a row."""
         return min(MAX_HOLD_DOWN_MS, MIN_HOLD_DOWN_MS * 2 ** min(10, max(0, zone.failures - 1)))
 
     def _leave_failed_zones(
@@ -297,7 +304,8 @@
                 verdict = self._judge_zone(name, observers)
                 if verdict.finding != "cut":
                     self.cut_off_since_ms.pop(name, None)
-                # Good evidence from schedulers in the zone may predate its failure until it has expired.
+                # Schedulers in a zone that has just failed still have good evidence from before the failure.
+                # The zone counts as cut off only after this evidence must have expired.
                 is_cut_off = (
                     verdict.finding == "cut"
                     and now - self.cut_off_since_ms.setdefault(name, now) > 2 * GOOD_EVIDENCE_MAX_AGE_MS
@@ -376,9 +384,10 @@
         return ZoneState("leaving", 0, share, verdict.finding == "cut", False, failures, reason, self.author)
 
     def _finish_leaving(self, now: float, fleet: FleetZones, leader: Leader) -> dict[str, ZoneState]:
-        """Returns the new states of leaving zones: the next share of a gradual leave, or left.
+        """Returns the new states of zones that are leaving, by name.
 
-        A zone counts as left once every session has acknowledged its last revision or has expired.
+        A zone that is left gradually gets its next smaller share. Any other zone is left once every session
+        has acknowledged the zone's last revision or has expired.
         """
         changed_zones = {}
         for name, zone in fleet.zones.items():
@@ -416,9 +425,9 @@
     ) -> dict[str, ZoneState]:
         """Returns the next state of one zone that was left or is returning.
 
-        A zone that was left returns after its hold-down if enough workers are good. A returning zone goes one
-        step on or back by the evidence on the workers admitted so far, and opens after the last step once no
-        worker is warming up.
+        A zone that was left returns after its hold-down if enough workers are good. A returning zone advances
+        by one step if enough of the workers admitted so far are good, and goes back by one if too many are
+        bad. It opens after the last step once no worker is warming up.
         """
         for name, zone in fleet.zones.items():
             if zone.on_hold or zone.state not in ("left", "returning"):
@@ -590,9 +599,10 @@
         )
 
     def _expected_count(self, summary: EvidenceSummary, worker_count: int) -> int:
-        """Returns the number of workers of which a fraction has to be good.
+        """Returns the worker count of which the fraction DOWN_FRACTION has to be good.
 
-        In a sample, these are the workers with evidence, but at least MIN_SAMPLE_WORKERS.
+        This is worker_count. If only a sample of the workers is seen, it is the number of workers with
+        evidence, but at least MIN_SAMPLE_WORKERS, or worker_count if that is less.
         """
         return (
             max(summary.reported_workers, min(MIN_SAMPLE_WORKERS, worker_count))
