--- a/spanwing/cli/journal.py
+++ b/spanwing/cli/journal.py
@@ -43,14 +43,14 @@
     """
     if directory:
         return directory
-    file = Path(operator_file or DEFAULT_OPERATOR_FILE)
+    path = Path(operator_file or DEFAULT_OPERATOR_FILE)
     try:
-        table = msgspec.toml.decode(file.read_bytes(), type=OperatorFile).journal
+        journal_settings = msgspec.toml.decode(path.read_bytes(), type=OperatorFile).journal
     except (OSError, ValueError) as error:
-        raise JournalCommandError(f"no --directory was given, and {file} cannot be read: {error}") from None
-    if table is None:
-        raise JournalCommandError(f"no --directory was given, and {file} has no [journal] table")
-    return table.directory
+        raise JournalCommandError(f"no --directory was given, and {path} cannot be read: {error}") from None
+    if journal_settings is None:
+        raise JournalCommandError(f"no --directory was given, and {path} has no [journal] table")
+    return journal_settings.directory
 
 
 def open_journal(directory: str | None, operator_file: str | None) -> JournalReader:
@@ -80,7 +80,7 @@
 
 
 def row_as_json(row: AttemptRow) -> dict[str, Any]:
-    """Returns the values of a row by field, for JSON and CSV; times are in ISO 8601."""
+    """Returns the values of a row by field name, for JSON and CSV; known times are in ISO 8601."""
     values = row._asdict()
     values["class"] = values.pop("cls")
     return {
@@ -144,13 +144,13 @@
 @json_option
 def show(request: str, directory: str | None, fronts: str | None, as_json: bool) -> None:
     """Everything that is known of one REQUEST; exit status 1 if that is nothing."""
-    found = open_journal(directory, fronts).find_request(request)
-    if found is None:
+    journal_request = open_journal(directory, fronts).find_request(request)
+    if journal_request is None:
         click.echo(f"{request}: not in the journal", err=True)
         raise SystemExit(EXIT_NOT_FOUND)
     if not as_json:
-        click.echo(f"{request}: {found.delivery_state}")
-    show_rows(attempt_rows(found), as_json, 0)
+        click.echo(f"{request}: {journal_request.delivery_state}")
+    show_rows(attempt_rows(journal_request), as_json, 0)
 
 
 @journal.command(
@@ -191,7 +191,7 @@
 
 
 def print_record(frame: RecordFrame) -> None:
-    """Prints one record as a line of JSON and flushes standard output, for readers of a pipe."""
+    """Prints one record as a line of JSON; flushes standard output, so that a pipe gets it immediately."""
     record = frame.record
     click.echo(
         json.dumps(
@@ -221,8 +221,8 @@
             intact_count += 1
     gaps = list(reader.read_gaps())
     for gap in gaps:
-        span = f"from {format_time(gap.since_wall_ms)} to {format_time(gap.wall_ms)}"
-        click.echo(f"gap of {gap.count} records {span}: {gap.why}")
+        period = f"from {format_time(gap.since_wall_ms)} to {format_time(gap.wall_ms)}"
+        click.echo(f"gap of {gap.count} records {period}: {gap.why}")
     click.echo(f"{intact_count} whole records, {fault_count} faults, {len(gaps)} gaps")
     if fault_count:
         raise SystemExit(EXIT_FAILURE)
--- a/spanwing/journal/table.py
+++ b/spanwing/journal/table.py
@@ -1,6 +1,7 @@
 """The journal as a table, for the command line: one row per attempt, or one for a request without attempts.
 
-If all known attempts of a request are not sent, but it may lack attempts, it has one more row for itself.
+A request has one more row, without an attempt, if none of its known attempts was sent but records of another
+attempt may be missing. The state of that row is "possibly sent".
 """
 
 from __future__ import annotations
@@ -23,19 +24,21 @@
     request: str
     cls: str
     tenant: str
-    key: str
-    front: str
+    key: str  # idempotency key
+    front: str  # front end that accepted the request
     attempt: int | None  # None in the row of a request
     worker: str
     address: str
     state: str  # "not sent", "possibly sent" or "sent"
-    time: float | None  # when the request was accepted, or if that is unknown the attempt's intent
+    time: float | None  # when the request was accepted; if that is unknown, the same as intent
+    # When the intent to send the attempt was recorded. If that record was removed with an old segment, when a
+    # later incarnation closed the attempt.
     intent: float | None
-    last_byte: float | None
+    last_byte: float | None  # when the attempt's last byte was written
     given_up: str  # why the scheduler stopped waiting for the attempt; empty if it did not
-    result: str
-    answer: str
-    answered: float | None
+    result: str  # of the attempt, or why it was not sent; in the row of a request RECORDS_MISSING or empty
+    answer: str  # kind of the request's answer; empty if there is none
+    answered: float | None  # when the request was answered
     closed: bool  # a later incarnation found the attempt or request without an end
 
 
