--- a/spanwing/frontends/balancers/health_checks.py
+++ b/spanwing/frontends/balancers/health_checks.py
@@ -1,9 +1,9 @@
 """Health checks over HTTP, for HAProxy, NGINX, Envoy and keepalived.
 
 Readiness responds with 200 while new work is accepted, else with 503. Liveness responds with 200 as long as
-the event loop runs. The plain body depends only on the state, and on whether the class of the path is served,
-as keepalived compares digests of the body. GET, HEAD and OPTIONS get the same status and headers, except that
-only OPTIONS gets an Allow header.
+the event loop runs. The plain body depends only on the state and on whether the class in the path is served,
+because keepalived compares digests of the body. GET, HEAD and OPTIONS get the same status and headers, except
+that only OPTIONS gets an Allow header.
 
 Sources: RFC 9110; Envoy's health checking and its `x-envoy-*` headers; draft-inadarei-api-health-check for
 the JSON body.
@@ -128,8 +128,8 @@
         return status, text.encode(), headers
 
     def render_answer(self, answer: FinalAnswer, keep_alive: bool) -> bytes:
-        """Encodes the readiness reply for a connection that is rejected before its request is read.
+        """Encodes the reply for a connection that is rejected before its request is read.
 
-        A check of readiness is its most likely request.
+        This is the readiness reply, as the request is most likely a readiness check.
         """
         return encode_response(*self._readiness("", False, {})[:2], keep_alive)
--- a/spanwing/load/openloop.py
+++ b/spanwing/load/openloop.py
@@ -1,13 +1,13 @@
 """Sends a scenario's requests to schedulers at their arrival times, independent of the answers (open loop).
 
-The latency of a request counts from its arrival time, not from when it was written. A scheduler that stalls
-is therefore charged for every request that arrives meanwhile (this avoids coordinated omission, G. Tene).
-The generator records how late it sends each request. If that is LATENESS_WARNING_MS or more at the 99th
-percentile, the result has a warning, as the actual load differed from the requested load.
-
-Bounds: `max_connections` connections. If all are in use, a request waits for one; its exchange is given up
-1 s after the class's deadline, and the wait counts as latency. Each request ends in exactly one
-CompletedRequest.
+The latency of a request counts from its arrival time, not from when it was written. A stall of a scheduler
+therefore shows in the latency of every request that arrives meanwhile (this avoids coordinated omission, G.
+Tene). The generator records how late it sends each request. If that is LATENESS_WARNING_MS or more at the
+99th percentile, the result has a warning, as the actual load differed from the requested load.
+
+Bounds: `max_connections` connections. If all are in use, a request waits for one, and the wait counts as
+latency. A request is given up when the wait and the exchange take 1 s longer than its class's deadline. Each
+request ends in exactly one CompletedRequest.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
     class_name: str
     outcome: str  # of OUTCOME_BY_STATUS, or `broken` without a complete answer
     latency_ms: float  # from the arrival time
-    service_ms: float  # from when the last byte was written
+    service_ms: float  # from when the request was written to the end of its answer
     lateness_ms: float  # how long after the arrival time the generator started to send
 
 
@@ -50,11 +50,11 @@
     latency: dict[str, float]  # CompletedRequest.latency_ms
     service: dict[str, float]  # CompletedRequest.service_ms
     late: dict[str, float]  # CompletedRequest.lateness_ms
-    by_class: dict[str, dict[str, float]]  # latency by class
+    by_class: dict[str, dict[str, float]]  # latency by class and percentile
 
     @property
     def warning(self) -> str:
-        """A warning if the generator sent requests too late, or ""."""
+        """A warning if the generator sent requests too late, else an empty string."""
         lateness_ms = self.late["99"]
         return (
             ""
@@ -67,7 +67,7 @@
 
 
 def compute_percentiles(values: list[float]) -> dict[str, float]:
-    """Returns the PERCENTILES of the values by name; all are 0 without values."""
+    """Returns the PERCENTILES of the values, with keys such as "99.9"; all are 0 if there are no values."""
     if not values:
         return {f"{each:g}": 0.0 for each in PERCENTILES}
     computed = np.percentile(values, PERCENTILES)
@@ -92,7 +92,7 @@
         self.tasks: set[asyncio.Task] = set()
 
     async def run(self, requests: Iterable[GeneratedRequest], seconds: float) -> LoadTestResult:
-        """Sends all requests that arrive within `seconds`, and waits until each is answered or given up."""
+        """Sends all requests that arrive before `seconds`, and waits until each is answered or given up."""
         started_at_s = time.perf_counter()
         for index, each in enumerate(requests):
             if each.arrives_at_ms >= seconds * 1000.0:
