--- a/spanwing/experiment/matrix.py
+++ b/spanwing/experiment/matrix.py
@@ -1,9 +1,12 @@
 """Expands the plan of an experiment into cells, and runs those that have no stored row yet.
 
-A cell is identified by a digest of everything that its row depends on: the scenario's text, the changes, the
-seed and the source code of the build. An interrupted experiment therefore continues where it stopped, and
-rows of different builds never mix. A row is written to a temporary file that is then renamed, so it is
-complete or absent. Bounds: MAX_CELLS cells, and CELL_TIMEOUT_S for each.
+A cell is identified by a digest of the scenario's text, the changes, the seed and the modules of spanwing,
+spanwing.simulation and spanwing.experiment in the build (see source_digest()). An interrupted experiment
+therefore continues where it stopped, and builds that differ in these modules have separate rows. Other
+packages and Python itself are not part of the digest: if only they change, a stored row is used again.
+
+A row is written to a temporary file that is then renamed, so it is complete or absent. Bounds: MAX_CELLS
+cells, and CELL_TIMEOUT_S for each.
 """
 
 from __future__ import annotations
