--- a/spanwing/discovery/call.py
+++ b/spanwing/discovery/call.py
@@ -54,10 +54,10 @@
     connect_timeout_s: float
     first_byte_timeout_s: float  # from the start of the call to the first byte of the answer
     stall_timeout_s: float  # longest gap within the answer
-    answer_timeout_s: float = 2.0  # from the first byte to the last, plus the time for the size of the answer
+    answer_timeout_s: float = 2.0  # from the first byte to the last; longer for a large answer
 
 
-# Lowest accepted rate of a large answer: each received byte extends answer_timeout_s at this rate.
+# answer_timeout_s is extended by the time that the bytes received so far need at this rate.
 MIN_ANSWER_BYTES_PER_S = 128 * 1024
 
 
--- a/spanwing/workers/http_worker.py
+++ b/spanwing/workers/http_worker.py
@@ -224,9 +224,9 @@
     ) -> PooledConnection | None:
         """Sends a request; returns its connection, or None if the last byte was not written.
 
-        encode is called once for each connection that is tried, after the connection was opened. is_wanted
-        is checked after each wait; for an attempt, the permission to send is also checked at each write to
-        the socket.
+        encode is called once for each connection that is tried, when the connection is ready. is_wanted is
+        checked after each wait; for an attempt, the permission to send is also checked at each write to the
+        socket.
 
         hold_last_byte is set for requests that must not run twice. A pooled connection that the worker has
         dropped silently still looks open. If a request were written to it, it would be unknown whether the
@@ -248,7 +248,7 @@
                 if is_wanted() and connection.is_reusable():
                     if attempt is not None:
                         attempt.is_last_byte_written, attempt.connection = True, connection
-                        # Bytes may wait in the stream's buffer; this is checked when they are sent.
+                        # Bytes may wait in the stream's buffer; permission is checked again as they go out.
                         connection.stream.permit = lambda: self._may_send(attempt)
                     self._check_send(data, attempt)
                     await connection.write(data[-1:] if hold_last_byte else data)
@@ -264,7 +264,10 @@
         return None
 
     async def _confirm_worker(self, connection: PooledConnection, attempt: HttpAttempt) -> bool:
-        """Returns whether the worker accepts work; asks it on this connection if confirmation is needed."""
+        """Returns whether the worker has confirmed that it accepts work, or need not confirm it.
+
+        Asks the worker on this connection unless its last confirmation is still valid.
+        """
         permit = attempt.delivery.may_send
         if not self.confirmation.is_needed():
             return True
--- a/spanwing/zones/controller.py
+++ b/spanwing/zones/controller.py
@@ -386,8 +386,8 @@
     def _finish_leaving(self, now: float, fleet: FleetZones, leader: Leader) -> dict[str, ZoneState]:
         """Returns the new states of zones that are leaving, by name.
 
-        A zone that is left gradually gets its next smaller share. Any other zone is left once every session
-        has acknowledged the zone's last revision or has expired.
+        A zone in a gradual leave gets its next smaller share. Any other zone gets the state "left" once every
+        session has acknowledged the zone's last revision or has expired.
         """
         changed_zones = {}
         for name, zone in fleet.zones.items():
