--- a/measure/fleet/followers.py
+++ b/measure/fleet/followers.py
@@ -18,7 +18,7 @@
 import click
 from tornado.ioloop import IOLoop
 
-from measure.daemons import ROOT, CLOCK_TICKS_PER_S
+from measure.daemons import CLOCK_TICKS_PER_S, ROOT
 from measure.fleet.ground import HOST, ProcessFleet
 from spanwing.actor import spawn_task
 from spanwing.net.address import Address
--- a/measure/scale.py
+++ b/measure/scale.py
@@ -15,8 +15,8 @@
 from typing import NamedTuple
 
 import click
-
 from spanwing.faults import ErrorCollector
+
 from spanwing.simulation.fleet import FleetSimulation
 from spanwing.simulation.scenario import load_scenario
 
@@ -45,7 +45,10 @@
     nodes = tuple((f"s{n}", scenario.zones[n % len(scenario.zones)]) for n in range(schedulers))
     rate_per_s = scenario.mean_request_rate() * workers / len(base_workers)
     fleet = FleetSimulation(
-        plan._replace(workers=specs, schedulers=nodes, load=plan.load._replace(rate=rate_per_s, daily_swing=0.0)), 1
+        plan._replace(
+            workers=specs, schedulers=nodes, load=plan.load._replace(rate=rate_per_s, daily_swing=0.0)
+        ),
+        1,
     )
     return fleet, 1000.0 * REQUEST_COUNT / rate_per_s
 
--- a/tests/test_balancers.py
+++ b/tests/test_balancers.py
@@ -21,10 +21,10 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-from player import WAIT_TIMEOUT_S, ROOT, Daemon, config, member
+from player import ROOT, WAIT_TIMEOUT_S, Daemon, config, member
 from standins import FaktoryClient
 
-from measure.balancers import PROTOCOLS, Backend, HealthTracker, CheckResult, parse_agent_reply
+from measure.balancers import PROTOCOLS, Backend, CheckResult, HealthTracker, parse_agent_reply
 from measure.drains import DrainRun
 from spanwing.cli import client
 from spanwing.health.settings import HealthSettings
@@ -102,7 +102,8 @@
                 name, result = each.result()
                 with self.subTest(name):
                     self.assertEqual(
-                        (result.drains, result.accepted_late, result.unanswered, result.duplicate_runs), (2, 0, 0, 0)
+                        (result.drains, result.accepted_late, result.unanswered, result.duplicate_runs),
+                        (2, 0, 0, 0),
                     )
                     self.assertGreater(result.requests, 0)
 
@@ -474,7 +475,9 @@
         ):
             judge.record(CheckResult(is_up))
             self.assertEqual(judge.up, expected)
-        self.assertEqual(Backend("a", ("", 0), ("", 0), PROTOCOLS["envoy-http"]).health_tracker.effective_weight, 100)
+        self.assertEqual(
+            Backend("a", ("", 0), ("", 0), PROTOCOLS["envoy-http"]).health_tracker.effective_weight, 100
+        )
 
     def test_rate_and_number_of_events_are_bounded(self) -> None:
         limiter = RateLimiter(1.0, 2.0)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -36,7 +36,8 @@
 
     def good_workers_seen(self, fleet: ProcessFleet, zone: str) -> int:
         return sum(
-            fleet.zone_status(name)["zones"].get(zone, {}).get("seen_good", 0) for name in fleet.reachable_schedulers()
+            fleet.zone_status(name)["zones"].get(zone, {}).get("seen_good", 0)
+            for name in fleet.reachable_schedulers()
         )
 
     def wait_until_left(self, fleet: ProcessFleet, *zones: str) -> None:
@@ -129,7 +130,9 @@
         arrivals = [
             each
             for each in fleet.records()
-            if each["ev"] == "got" and each["worker"] in fleet.workers_in_zone("c") and each["t"] > left_at + 0.05
+            if each["ev"] == "got"
+            and each["worker"] in fleet.workers_in_zone("c")
+            and each["t"] > left_at + 0.05
         ]
         self.assertEqual(arrivals, [])
         fleet.set_worker_mode("c", "up")
@@ -146,7 +149,9 @@
         self.wait_until_left(fleet, "a")
         fleet.start_zone("a")
         self.wait_until_open(fleet, "a")
-        self.assertEqual(fleet.zone_status("s0")["zones"]["a"]["failures"], 2)  # the second hold-down was longer
+        self.assertEqual(
+            fleet.zone_status("s0")["zones"]["a"]["failures"], 2
+        )  # the second hold-down was longer
         self.assert_only_left(fleet, {"a"})
 
 
@@ -226,7 +231,9 @@
             fleet.set_link_state(links, **fault)
             self.assert_nothing_left(fleet)
             fleet.set_link_state(links)
-            fleet.wait_until(lambda: any(fleet.zone_status("s4")["zones"][zone]["seen_good"] for zone in "abc"))
+            fleet.wait_until(
+                lambda: any(fleet.zone_status("s4")["zones"][zone]["seen_good"] for zone in "abc")
+            )
         fleet.settle()
 
     def test_two_of_one_zone_see_all_others_fail(self) -> None:
@@ -243,7 +250,11 @@
         fleet.set_link_state(fleet.links_between(fleet.schedulers, ["discovery"]), there=False, back=False)
         fleet.parts["wa0"].send_order({"how": "failing"})
         fleet.set_worker_mode("b", "full")
-        fleet.wait_until(lambda: any(fleet.zone_status(name)["zones"]["a"]["seen_bad"] for name in fleet.reachable_schedulers()))
+        fleet.wait_until(
+            lambda: any(
+                fleet.zone_status(name)["zones"]["a"]["seen_bad"] for name in fleet.reachable_schedulers()
+            )
+        )
         self.assert_nothing_left(fleet)
         fleet.settle()
         self.assertEqual(fleet.rule_violations()[:5], [])
@@ -347,7 +358,9 @@
             name = self.last_author(fleet)
             fleet.stop(name)
             # By then another member leads; the stopped one finds that it no longer does.
-            fleet.wait_until(lambda name=name: self.last_author(fleet) != name or fleet.states("b") == {"open"})
+            fleet.wait_until(
+                lambda name=name: self.last_author(fleet) != name or fleet.states("b") == {"open"}
+            )
             fleet.resume(name)
             stopped.append(name)
         self.wait_until_open(fleet, "b")
@@ -396,7 +409,9 @@
         fleet.start_zone("c")
         fleet.wait_until(lambda: fleet.states("c") == {"returning"})
         fleet.kill("s0", "s1")
-        fleet.wait_until(lambda: not any(fleet.all_in_contact([name]) for name in fleet.reachable_schedulers()))
+        fleet.wait_until(
+            lambda: not any(fleet.all_in_contact([name]) for name in fleet.reachable_schedulers())
+        )
         served = len(fleet.records())
         fleet.wait_until(lambda: len(fleet.records()) > served + 50)  # requests do not wait for the store
         fleet.start("s0", wait=False)
@@ -635,7 +650,9 @@
         ]
         self.assertEqual(len(check.concurrent_assignments(records)), 1)
         self.assertEqual(check.concurrent_assignments(records, {"a"}), [])
-        self.assertEqual(check.concurrent_assignments([records[0], {**records[0], "ev": "dropped"}, records[1]]), [])
+        self.assertEqual(
+            check.concurrent_assignments([records[0], {**records[0], "ev": "dropped"}, records[1]]), []
+        )
 
     def test_a_request_accepted_under_an_earlier_policy_version(self) -> None:
         records = [
--- a/tests/test_grpc.py
+++ b/tests/test_grpc.py
@@ -225,7 +225,9 @@
         host, port = daemon.wait_until_ready().addresses["grpc"]
         with grpc.insecure_channel(f"{host}:{port}") as channel:
             stub = health_pb2_grpc.HealthStub(channel)
-            watch = stub.Watch(health_pb2.HealthCheckRequest(service="schedule-apply"), timeout=WAIT_TIMEOUT_S)
+            watch = stub.Watch(
+                health_pb2.HealthCheckRequest(service="schedule-apply"), timeout=WAIT_TIMEOUT_S
+            )
             while next(watch).status != health_pb2.HealthCheckResponse.SERVING:
                 pass
             request_message = health_pb2.HealthCheckRequest()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -46,7 +46,14 @@
     ) -> None:
         """Closes the lane, and checks its connection errors, its answers and the output of its processes."""
         result = await lane.close()
-        self.assertEqual({name: result.connection_errors[name] for name in expected_absent if result.connection_errors[name]}, {})
+        self.assertEqual(
+            {
+                name: result.connection_errors[name]
+                for name in expected_absent
+                if result.connection_errors[name]
+            },
+            {},
+        )
         self.assertEqual(result.duplicate_runs, 0)
         self.assertEqual(result.answers["another's"], 0)
         self.assertNotIn("Traceback", result.stderr_text)
--- a/tests/test_journal_core.py
+++ b/tests/test_journal_core.py
@@ -417,7 +417,9 @@
         self.assertEqual(sum(result.kills > 3 for result in results.values()), 6)
         for name, result in results.items():
             with self.subTest(name):
-                self.assertEqual((result.wrongly_unsent, result.resent, result.unreported, result.accepted), ([], 0, 0, 0))
+                self.assertEqual(
+                    (result.wrongly_unsent, result.resent, result.unreported, result.accepted), ([], 0, 0, 0)
+                )
 
     def test_daemon_does_not_start_on_a_folder_in_use(self) -> None:
         from measure.daemons import Daemon
