--- a/measure/scale.py
+++ b/measure/scale.py
@@ -15,8 +15,8 @@
 from typing import NamedTuple
 
 import click
-from spanwing.faults import ErrorCollector
 
+from spanwing.config_errors import ErrorCollector
 from spanwing.simulation.fleet import FleetSimulation
 from spanwing.simulation.scenario import load_scenario
 
--- a/measure/zoneday.py
+++ b/measure/zoneday.py
@@ -29,8 +29,8 @@
 
 import click
 import msgspec
-from spanwing.faults import ErrorCollector
 
+from spanwing.config_errors import ErrorCollector
 from spanwing.simulation.fault_injection import FaultInjector
 from spanwing.simulation.fleet import AnsweredRequest, FleetSimulation, GeneratedRequest, WorkerHost
 from spanwing.simulation.scenario import parse_scenario
