--- a/spanwing/discovery/client.py
+++ b/spanwing/discovery/client.py
@@ -202,7 +202,7 @@
             try:
                 await self._run_watch(watch)
             except Exception:  # counted and logged; the next call may succeed
-                logger.exception("unexpected exception in the discovery watch; restarting the watch")
+                logger.exception("fault in the discovery watch; restarting the watch")
                 self.failed_calls["fault"] += 1
                 self.freshness.note_unanswered()
                 await sleep(WATCH_RESTART_S)
