--- a/measure/__init__.py
+++ b/measure/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements against real daemons on loopback; each module's head says what it shows, and its command."""
+"""Measurements against real daemons on loopback. Each module's docstring says what it measures, and its command."""
--- a/measure/cpu.py
+++ b/measure/cpu.py
@@ -47,7 +47,7 @@
 ]
 WORKER_COUNT, WARM_UP_S = 40, 3.0
 CLIENT_COUNT, CALIBRATION_S = 150, 3.0
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 OBSERVED_S = 8.0  # from the cut to the end of a run
 MAX_SEND_DELAY_S = 0.05  # a request that the generator would send later than this is left out and counted
 
@@ -82,6 +82,7 @@
         self.ports = self.pipe.recv()
 
     def stop(self) -> None:
+        """Ends the process."""
         self.pipe.send(None)
         self.process.join(5)
         self.process.kill()
@@ -98,10 +99,12 @@
         ]
 
     def start(self) -> None:
+        """Starts the busy loops."""
         for each in self.processes:
             each.start()
 
     def stop(self) -> None:
+        """Stops the busy loops and waits for their processes."""
         self.stop_event.set()
         for each in self.processes:
             if each.pid:
@@ -119,6 +122,7 @@
         self.unsent_count = 0
 
     async def run(self, seconds: float) -> None:
+        """Starts the requests that are due within `seconds`; answers may still be pending on return."""
         due = time.monotonic()
         end, number = due + seconds, 0
         while due < end:
@@ -240,7 +244,7 @@
             begun = time.monotonic()
             weight = (await check_agent(daemon.addresses["agent_check"])).weight
             weights.append((time.monotonic(), 0 if weight is None else weight))
-            await asyncio.sleep(max(0.0, begun + POLL_S - time.monotonic()))
+            await asyncio.sleep(max(0.0, begun + POLL_INTERVAL_S - time.monotonic()))
 
     running = asyncio.ensure_future(load.run(WARM_UP_S + 1.0 + OBSERVED_S))
     try:
@@ -250,7 +254,7 @@
         with suppress(RuntimeError):  # other load on the machine may make it short of CPU before the cut
             await asyncio.to_thread(daemon.wait_for_state, "ready", "weighted", wait_s=4.0)
         polling = asyncio.ensure_future(poll())
-        await asyncio.sleep(3 * POLL_S)
+        await asyncio.sleep(3 * POLL_INTERVAL_S)
         cut_at = time.monotonic()
         await asyncio.to_thread(cpu_hogs.start)
         await running
@@ -509,6 +513,7 @@
 
 
 def report(title: str, command: str, lines: list[str], out: Path | None, options: str, text: str) -> None:
+    """Prints the table, and writes it to `out` with the command that made it and an explanation."""
     table = "\n".join(lines)
     click.echo(table)
     if out:
--- a/measure/faktory.py
+++ b/measure/faktory.py
@@ -43,6 +43,7 @@
         return None if size < 0 else (await self.reader.readexactly(size + 2))[:-2].decode()
 
     def close(self) -> None:
+        """Closes the connection."""
         self.writer.close()
 
 
--- a/measure/sites.py
+++ b/measure/sites.py
@@ -18,11 +18,13 @@
 from typing import Any
 
 SITES = Path(__file__).parent.parent / "deploy" / "sites"
+#: Files of the kit to copy: name in SITES, path in the kit.
 KIT_FILES = {
     "real.json": "sites/real.json",
     "wire.json": "sites/wire.json",
     "unlock.txt": "more/mass/unlock.txt",
 }
+#: Deployments that a drawn one may start from: those of the kit and those of this project.
 KIT_SITES = ("sites/corrib-controls-eu.toml", "more/mass/other/lj-labels.toml")
 OWN_SITES = ("orla-lifts.toml", "visla-meters.toml")
 
