--- a/measure/__init__.py
+++ b/measure/__init__.py
@@ -1,1 +1,4 @@
-"""Measurements against real daemons on loopback. Each module's docstring says what it measures, and its command."""
+"""Measurements against real daemons on loopback.
+
+The docstring of each module says what it measures, and gives the command that runs it.
+"""
